--- a/packages/rattanfork-node/rattanfork_node/app/account_parts.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_parts.py
@@ -9,7 +9,7 @@
 
 from rattanfork_node.app.store_tasks import StoreTasks
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.member.quota_task import QuotaTask
 from rattanfork_node.relay import ClientAccounts, RelaySettings
 from rattanfork_node.telemetry import Counters
@@ -31,7 +31,7 @@
         How recent the proof is that it is the newest.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends and receives datagrams.
     store : StoreTasks
         Renews the lease, and knows whether this node has joined.
@@ -46,7 +46,7 @@
         configuration: ConfigurationHolder,
         lease: ConfigurationLease,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         store: StoreTasks,
         counters: Counters,
     ) -> None:
@@ -71,13 +71,13 @@
             self._quota.leases,
             counters,
             settings.revoke_within,
-            self._lease_task.hasten,
+            self._lease_task.renew_soon,
         )
         self._lease_task.on_renewed = self.accounts.review
 
     def on_member(self, member: Member, before: MemberStatus | None) -> None:
         """Take note of a member that came, went or is suspected."""
-        self._quota.on_member(member, before)
+        self._quota.on_status_change(member, before)
 
     def on_configuration(self) -> None:
         """Take note that another configuration came into force."""
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -18,18 +18,18 @@
 from rattanfork_node.admin.announcement import Announcement
 from rattanfork_node.app.fleet import FleetView
 from rattanfork_node.app.peers import NodePeerHandler
-from rattanfork_node.config.task import RulesTask
+from rattanfork_node.config.rules_poller import RulesPoller
 from rattanfork_node.edge import Edge
 from rattanfork_node.guard import Guard, UpstreamClient
 from rattanfork_node.ingress import (
-    Directory,
     Dispatcher,
     EpochBook,
     Ingress,
+    InstanceDirectory,
     KeyAssigner,
     KeyIssuer,
 )
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 from rattanfork_node.telemetry.metrics import Metrics
@@ -134,7 +134,7 @@
                 settings.platform.url, settings.platform.timeout
             )
         seeds = [seed.rsplit(":", 1) for seed in settings.seeds]
-        self._member = MemberTask(
+        self._member = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -144,7 +144,7 @@
             self._counters,
         )
         self._handler.connect(self._member)
-        self._config = RulesTask(
+        self._config = RulesPoller(
             self._clock,
             self._random,
             self._rules,
@@ -175,13 +175,13 @@
             self._fleet,
             self._on_announcement,
             self.drain,
-            self._config.hasten,
+            self._config.read_soon,
         )
 
     def _make_edge(self) -> None:
         settings = self._settings
         hints = HintTable(self._clock)
-        directory = Directory(self._clock, self._random, self._membership)
+        directory = InstanceDirectory(self._clock, self._random, self._membership)
         epochs = EpochBook(self._clock)
         dispatcher = Dispatcher(
             self._clock,
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -34,9 +34,9 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HttpServer, RequestLimits
 from rattanfork_node.http1.handler import RequestHandler
-from rattanfork_node.member import MemberTask
-from rattanfork_node.member.directory import Directory
-from rattanfork_node.member.gate_news import GateNewsTask
+from rattanfork_node.member import GossipTask
+from rattanfork_node.member.directory import InstanceDirectory
+from rattanfork_node.member.gate_report_task import GateReportTask
 from rattanfork_node.member.quarantine_task import QuarantineTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.relay import (
@@ -220,7 +220,7 @@
 
     def _make_tasks(self) -> None:
         settings = self._settings
-        self._member = MemberTask(
+        self._member = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -230,7 +230,7 @@
             self._counters,
         )
         self._handler.connect(self._member)
-        self._gate_news = GateNewsTask(
+        self._gate_news = GateReportTask(
             self._reports, self._membership, self._member, self._gate
         )
         self._quarantine_task = QuarantineTask(
@@ -254,7 +254,7 @@
             self._member,
             self._pool,
             self._counters,
-            self._quarantine_task.read_record,
+            self._quarantine_task.merge_record,
             self._quarantine_task.persist_all,
             self._lease,
         )
@@ -274,7 +274,7 @@
         self, announcement_handler: Callable[["RelayNode"], RequestHandler]
     ) -> None:
         settings = self._settings
-        self._directory = Directory(
+        self._directory = InstanceDirectory(
             self._clock, self._random, self._membership, _LOCAL_LOAD
         )
         self._relay = Relay(
@@ -392,7 +392,7 @@
         for _, server in self._servers:
             server.sweep()
         self._metrics.sweep()
-        gates = self._directory.size(self._settings.relay.service)
+        gates = self._directory.instance_count(self._settings.relay.service)
         self._gate.grants.share_among(gates)
 
     def _on_member(self, member: Member, before: MemberStatus | None) -> None:
--- a/packages/rattanfork-node/rattanfork_node/app/shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/shutdown.py
@@ -5,7 +5,7 @@
 from rattanfork_core.clock import Clock
 
 from rattanfork_node.http1 import HttpServer
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.relay import Gate
 from rattanfork_node.telemetry import log_change
 
@@ -35,7 +35,7 @@
         Source of the current time.
     grace : float
         Seconds between SIGTERM and SIGKILL.
-    member : MemberTask
+    member : GossipTask
         Tells the others that this node leaves.
     gate : Gate
         What runs at the upstream.
@@ -47,7 +47,7 @@
         self,
         clock: Clock,
         grace: float,
-        member: MemberTask,
+        member: GossipTask,
         gate: Gate,
         callers: HttpServer,
     ) -> None:
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -17,8 +17,8 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.lease_task import LeaseTask
 from rattanfork_node.config.restore_task import RestoreTask
-from rattanfork_node.config.rules_watch import RulesWatch
-from rattanfork_node.member import MemberTask
+from rattanfork_node.config.rules_watcher import RulesWatcher
+from rattanfork_node.member import GossipTask
 from rattanfork_node.member.join import JoinTask
 from rattanfork_node.peer import PeerPool
 from rattanfork_node.telemetry import Counters
@@ -48,7 +48,7 @@
         The rules in force.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Tells other nodes what this one holds, and hears them.
     pool : PeerPool
         Connections to other nodes.
@@ -71,7 +71,7 @@
         configuration: ConfigurationHolder,
         rules: RevisionState,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         pool: PeerPool,
         counters: Counters,
         on_quarantine: Callable[[object], None],
@@ -95,7 +95,7 @@
             lambda: roster.mine,
             lease,
         )
-        self._rules_watch = RulesWatch(
+        self._rules_watch = RulesWatcher(
             random,
             rules,
             platform,
@@ -103,7 +103,7 @@
             pool,
             counters,
             lambda: member_task.newest_rules,
-            lambda: member_task.rules_teller,
+            lambda: member_task.rules_source,
             lambda: roster.mine,
         )
         self._confirmation = ConfirmationTask(
@@ -122,13 +122,13 @@
             membership,
             roster,
             member_task,
-            self._confirmation.hasten,
+            self._confirmation.confirm_soon,
         )
         self._restore = RestoreTask(
             random, platform, roster, membership, rules, persist_quarantine, counters
         )
         membership.held = self._held
-        member_task.on_held = self._confirmation.hear
+        member_task.on_held_versions = self._confirmation.on_held_versions
 
     @property
     def joined(self) -> bool:
@@ -164,5 +164,5 @@
         return HeldVersions(
             self._configuration.version,
             self._rules.order,
-            self._confirmation.confirmed_ms(),
+            self._confirmation.confirmation_age_ms(),
         )
--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -13,7 +13,7 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.peer_choice import PeerChoice
 from rattanfork_node.config.row_watch import RowWatch
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.peer import ConfigurationRequest, LinkLostError, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 
@@ -56,7 +56,7 @@
         The row that holds the configuration.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Hears the versions that others hold.
     pool : PeerPool
         Connections to other nodes.
@@ -77,7 +77,7 @@
         table: str,
         key: str,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         pool: PeerPool,
         counters: Counters,
         on_duty: Callable[[], bool] = lambda: True,
@@ -154,7 +154,7 @@
                 await self._ask_peer()
 
     async def _ask_peer(self) -> None:
-        member = self._peers.next(self._member_task.configuration_teller)
+        member = self._peers.next(self._member_task.configuration_source)
         if member is None:
             return
         try:
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -9,7 +9,7 @@
 from rattanfork_platform import PlatformDownError
 
 from rattanfork_node.config.follower import Follower
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.telemetry import Counters, log_change
 
 #: Seconds between two looks at the schedule; of a node outside the group, which waits
@@ -35,7 +35,7 @@
         When to ask.
     roster : DutyRoster
         Who asks in turn.
-    member_task : MemberTask
+    member_task : GossipTask
         Tells others, and hears them.
     followers : sequence of Follower
         What is kept up to date.
@@ -48,7 +48,7 @@
         random: Random,
         schedule: ConfirmationSchedule,
         roster: DutyRoster,
-        member_task: MemberTask,
+        member_task: GossipTask,
         followers: Sequence[Follower],
         counters: Counters,
     ) -> None:
@@ -76,16 +76,16 @@
         if self._task is not None:
             self._task.cancel()
 
-    def hasten(self) -> None:
+    def confirm_soon(self) -> None:
         """Ask the store soon, whoever else has asked."""
         self._schedule.hasten()
 
-    def confirmed_ms(self) -> int:
+    def confirmation_age_ms(self) -> int:
         """Return what others are told of the age, in milliseconds."""
         known = self._schedule.confirmed and not self._behind()
         return int(self._schedule.age * 1000) if known else NEVER
 
-    def hear(self, held: HeldVersions) -> None:
+    def on_held_versions(self, held: HeldVersions) -> None:
         """Take in what another node holds."""
         task = self._member_task
         older = (
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -15,7 +15,7 @@
 from rattanfork_core.revision import ConfigurationLease
 
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 
 #: Age of the proof, in seconds, from which a peer is asked for a newer one, and
 #: seconds between two requests.
@@ -53,7 +53,7 @@
         Who is there.
     roster : DutyRoster
         Who asks the store in turn.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends and receives datagrams.
     ask_store : callable
         Has this node ask the store soon.
@@ -66,7 +66,7 @@
         configuration: ConfigurationHolder,
         membership: Membership,
         roster: DutyRoster,
-        member_task: MemberTask,
+        member_task: GossipTask,
         ask_store: Callable[[], None],
     ) -> None:
         self._random = random
@@ -113,7 +113,7 @@
         ):
             self.on_renewed()
 
-    def hasten(self) -> None:
+    def renew_soon(self) -> None:
         """Ask at the next tick, as a request waits for a newer proof."""
         self._urgent = True
 
--- a/packages/rattanfork-node/rattanfork_node/config/task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
@@ -18,7 +18,7 @@
 _ASK_INTERVAL = 0.2
 
 
-class RulesTask:
+class RulesPoller:
     """Learns accepted rules from the table and from peers.
 
     Explanation
@@ -92,7 +92,7 @@
             self._asks.begin()
             self._start(self._ask_peer())
 
-    def hasten(self) -> None:
+    def read_soon(self) -> None:
         """Read the table now: an operator has just changed it."""
         self._reads.hasten()
         if self._platform is not None and self._reads.due():
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
@@ -33,7 +33,7 @@
 _ASK_TIMEOUT = 0.6
 
 
-class RulesWatch(Follower):
+class RulesWatcher(Follower):
     """Learns accepted rules by a watch of the store, or from peers without it.
 
     Parameters
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -152,8 +152,8 @@
     def __init__(self) -> None:
         self.newest_configuration = 0
         self.newest_rules = 0
-        self.configuration_teller: Member | None = None
-        self.rules_teller: Member | None = None
+        self.configuration_source: Member | None = None
+        self.rules_source: Member | None = None
 
     def tell(self, names) -> None:
         pass
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -208,7 +208,7 @@
     )
     world.task.start()
     world.peers.version, world.peers.document = 4, b"4"
-    world.heard.configuration_teller = member("n7")._replace(peer_port=107)
+    world.heard.configuration_source = member("n7")._replace(peer_port=107)
     world.heard.newest_configuration = 4
     await until(lambda: world.holder.version == 4)
     assert world.peers.addresses == [("127.0.0.1", 107)]
@@ -218,7 +218,7 @@
 async def test_another_is_asked_when_who_told_does_not_answer(world):
     world.task.start()
     world.peers.reachable = False
-    world.heard.configuration_teller = member("n7")._replace(peer_port=107)
+    world.heard.configuration_source = member("n7")._replace(peer_port=107)
     world.heard.newest_configuration = 4
     await until(lambda: len(world.peers.addresses) >= 3)
     assert world.peers.addresses[:2] == [("127.0.0.1", 107), ("127.0.0.1", 1)]
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -70,7 +70,7 @@
         heard = self.heard
         heard.newest_configuration = max(heard.newest_configuration, configuration)
         heard.newest_rules = max(heard.newest_rules, rules)
-        self.task.hear(HeldVersions(configuration, rules, confirmed))
+        self.task.on_held_versions(HeldVersions(configuration, rules, confirmed))
 
 
 def test_a_word_about_the_newest_makes_ones_own_younger():
@@ -78,7 +78,7 @@
     world.clock.advance(5.0)
     world.hear(configuration=7, confirmed=200)
     assert world.task.age == pytest.approx(0.2)
-    assert world.task.confirmed_ms() == 200
+    assert world.task.confirmation_age_ms() == 200
 
 
 def test_a_fresh_node_has_no_word_to_pass_on():
@@ -89,9 +89,9 @@
     """
     world = World()
     world.clock.advance(0.5)
-    assert world.task.confirmed_ms() == NEVER
+    assert world.task.confirmation_age_ms() == NEVER
     world.hear(configuration=7, confirmed=200)
-    assert world.task.confirmed_ms() == 200
+    assert world.task.confirmation_age_ms() == 200
 
 
 def test_a_word_about_something_older_says_nothing():
@@ -116,7 +116,7 @@
     world.held.is_behind = True
     world.hear(configuration=8, confirmed=100)
     assert world.task.age == 5.0
-    assert world.task.confirmed_ms() == NEVER
+    assert world.task.confirmation_age_ms() == NEVER
 
 
 def play(world: World, holds) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
@@ -154,6 +154,6 @@
     node.lease.confirm(node.clock.now())
     node.run(0.3)
     assert node.requests == []
-    node.task.hasten()
+    node.task.renew_soon()
     node.run(0.1)
     assert node.requests
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
@@ -14,7 +14,7 @@
 
 from rattanfork_node.config.configuration_task import ConfigurationTask
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.config.rules_watch import RulesWatch
+from rattanfork_node.config.rules_watcher import RulesWatcher
 from rattanfork_node.config.tests.fakes import (
     FakeMemberTask,
     FakePeers,
@@ -138,7 +138,7 @@
     platform = FaultyPlatform(plan)
     state = RevisionState()
     membership = Membership(MonotonicClock(), Random(1), member("n1"))
-    task = RulesWatch(
+    task = RulesWatcher(
         Random(1), state, platform, membership, peers_without_answer(), Counters()
     )
     task.start()
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_swallowed_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_swallowed_watch.py
@@ -18,7 +18,7 @@
 from rattanfork_core.revision.record import HEAD_KEY, history_key
 from rattanfork_platform import Row, Rows
 
-from rattanfork_node.config.rules_watch import RulesWatch
+from rattanfork_node.config.rules_watcher import RulesWatcher
 from rattanfork_node.config.tests.fakes import FakePlatform, until
 from rattanfork_node.config.tests.test_configuration_task import World
 from rattanfork_node.telemetry import Counters
@@ -98,7 +98,7 @@
         platform = world.platform
         platform.swallows = True
         state = RevisionState(1)
-        watch = RulesWatch(
+        watch = RulesWatcher(
             Random(1),
             state,
             platform,
@@ -131,7 +131,7 @@
         world = SwallowingWorld()
         world.platform.swallows = True
         state = RevisionState(1)
-        watch = RulesWatch(
+        watch = RulesWatcher(
             Random(1),
             state,
             world.platform,
@@ -178,7 +178,7 @@
         world = SilentWorld()
         world.peers.version, world.peers.document = 4, b"4"
         state = RevisionState(2)
-        watch = RulesWatch(
+        watch = RulesWatcher(
             Random(1), state, world.platform, world.membership, world.peers, Counters()
         )
         world.start()
--- a/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
@@ -9,11 +9,11 @@
 from rattanfork_node.ingress.key_assigner import KeyAssigner
 from rattanfork_node.ingress.key_issuer import KeyIssuer
 from rattanfork_node.ingress.treatment import Treatment, treat
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 
 __all__ = [
     "CallerBook",
-    "Directory",
+    "InstanceDirectory",
     "Dispatcher",
     "EpochBook",
     "Incoming",
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -25,7 +25,7 @@
 from rattanfork_node.guard import Guard, GuardRequest
 from rattanfork_node.ingress.epochs import EpochBook
 from rattanfork_node.ingress.incoming import Incoming
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import Call, Cancel, LinkLostError, PeerLink, PeerPool
 
 _FENCE_TIMEOUT = 1.0
@@ -65,7 +65,7 @@
         Source of the current time.
     membership : Membership
         Who is there.
-    directory : Directory
+    directory : InstanceDirectory
         Who serves what.
     pool : PeerPool
         Connections to other nodes.
@@ -81,7 +81,7 @@
         self,
         clock: Clock,
         membership: Membership,
-        directory: Directory,
+        directory: InstanceDirectory,
         pool: PeerPool,
         guard: Guard,
         hints: HintTable,
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -31,7 +31,7 @@
 from rattanfork_node.ingress.key_assigner import KeyAssigner
 from rattanfork_node.ingress.key_issuer import KeyIssuer
 from rattanfork_node.ingress.treatment import Treatment, treat
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.telemetry import Counters
 
 _NOBODY: frozenset[str] = frozenset()
@@ -55,7 +55,7 @@
         data_centre: str,
         settings: RequestSettings,
         rules: RevisionState,
-        directory: Directory,
+        directory: InstanceDirectory,
         dispatcher: Dispatcher,
         guard: Guard,
         hints: HintTable,
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
@@ -7,7 +7,7 @@
 
 from rattanfork_node.guard import Guard
 from rattanfork_node.ingress.epochs import EpochBook
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, PeerPool
 
 _TIMEOUT = 0.5
@@ -21,7 +21,7 @@
 
     mint : TicketMint
         Makes the keys.
-    directory : Directory
+    directory : InstanceDirectory
         Who serves what.
     pool : PeerPool
         Connections to other nodes.
@@ -36,7 +36,7 @@
     def __init__(
         self,
         mint: TicketMint,
-        directory: Directory,
+        directory: InstanceDirectory,
         pool: PeerPool,
         guard: Guard,
         me: str,
--- a/packages/rattanfork-node/rattanfork_node/member/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/member/__init__.py
@@ -1,5 +1,5 @@
 """The member task: datagrams, joining and comparing views."""
 
-from rattanfork_node.member.task import MemberTask
+from rattanfork_node.member.gossip_task import GossipTask
 
-__all__ = ["MemberTask"]
+__all__ = ["GossipTask"]
--- a/packages/rattanfork-node/rattanfork_node/member/directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/directory.py
@@ -7,7 +7,7 @@
 from rattanfork_core.routing import InstancePicker, InstanceState
 
 
-class Directory:
+class InstanceDirectory:
     """The members by service, kept up to date with the membership view.
 
     Parameters
@@ -44,7 +44,7 @@
             self._rebuild()
         return self._pickers.get(service)
 
-    def size(self, service: str) -> int:
+    def instance_count(self, service: str) -> int:
         """Return how many instances a service has."""
         picker = self.picker(service)
         return 0 if picker is None else len(picker.states)
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
@@ -3,7 +3,7 @@
 from rattanfork_core.hints import MOST_REPORTERS, GateReports
 from rattanfork_core.membership import GateNews, Member, Membership, duty_group
 
-from rattanfork_node.member.task import MemberTask
+from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.telemetry import log_change
 
@@ -12,7 +12,7 @@
 _TOLD = 2
 
 
-class GateNewsTask:
+class GateReportTask:
     """Carries the reports of gates over datagrams.
 
     Parameters
@@ -22,7 +22,7 @@
         What is known.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends datagrams, and hears them.
     gate : Gate
         This node's gate.
@@ -32,7 +32,7 @@
         self,
         reports: GateReports,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         gate: Gate,
     ) -> None:
         self._reports = reports
--- a/packages/rattanfork-node/rattanfork_node/member/task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -27,7 +27,7 @@
 MOST_RECORDS = 1000
 
 
-class MemberTask(asyncio.DatagramProtocol):
+class GossipTask(asyncio.DatagramProtocol):
     """Carries the membership protocol.
 
     Parameters
@@ -75,10 +75,10 @@
         self.newest_configuration = 0
         self.newest_rules = 0
         #: Who told of them last; None while nobody has.
-        self.configuration_teller: Member | None = None
-        self.rules_teller: Member | None = None
+        self.configuration_source: Member | None = None
+        self.rules_source: Member | None = None
         #: Told what the sender of each datagram holds.
-        self.on_held: Callable[[HeldVersions], None] = _ignore
+        self.on_held_versions: Callable[[HeldVersions], None] = _ignore
         #: Told who sent it, and how many milliseconds ago it was confirmed there.
         self.on_confirmed: Callable[[Member, int], None] = _ignore_two
         #: Take requests and replies of other nodes, by their type.
@@ -157,7 +157,7 @@
         """Send a request to a node, or a reply."""
         self._send(encode_gossip(message, self._key), address)
 
-    def records_differing(self, request: SyncRequest) -> list[Member]:
+    def differing_records(self, request: SyncRequest) -> list[Member]:
         """Return the records in which another's view differs from this one."""
         buckets = self._membership.digest.differing(request.digest)
         return self._membership.records_in(buckets)[:MOST_RECORDS]
@@ -176,11 +176,11 @@
     def _hear(self, sender: Member, held: HeldVersions) -> None:
         if held.configuration and held.configuration >= self.newest_configuration:
             self.newest_configuration = held.configuration
-            self.configuration_teller = sender
+            self.configuration_source = sender
         if held.rules and held.rules >= self.newest_rules:
             self.newest_rules = held.rules
-            self.rules_teller = sender
-        self.on_held(held)
+            self.rules_source = sender
+        self.on_held_versions(held)
         self.on_confirmed(sender, held.confirmed)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
--- a/packages/rattanfork-node/rattanfork_node/member/join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/join.py
@@ -8,13 +8,13 @@
 from rattanfork_core.membership import Membership
 from rattanfork_platform import PlatformDownError, Rows, WatchedPlatform
 
+from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.member.records import (
     QUARANTINE_PREFIX,
     TABLE,
     decode_record,
     record_key,
 )
-from rattanfork_node.member.task import MemberTask
 from rattanfork_node.telemetry import log_change
 
 #: Seconds between tries while the store does not answer: first and longest.
@@ -49,7 +49,7 @@
         The store.
     membership : Membership
         The view to fill.
-    member_task : MemberTask
+    member_task : GossipTask
         Told of addresses to compare views with.
     on_quarantine : callable
         Gets the value of each row that holds what an instance knows of the quarantine.
@@ -60,7 +60,7 @@
         random: Random,
         platform: WatchedPlatform,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         on_quarantine: Callable[[object], None] = _ignore,
     ) -> None:
         self._random = random
--- a/packages/rattanfork-node/rattanfork_node/member/quarantine_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quarantine_task.py
@@ -15,8 +15,8 @@
 from rattanfork_core.request import fingerprint_text
 from rattanfork_platform import PlatformDownError, WatchedPlatform
 
+from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.member.records import quarantine_key
-from rattanfork_node.member.task import MemberTask
 from rattanfork_node.telemetry import log_change
 
 #: Members to which a crash beside this node is sent at once.
@@ -50,7 +50,7 @@
         The state.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends datagrams, and receives them.
     platform : WatchedPlatform
         The store.
@@ -67,7 +67,7 @@
         self,
         quarantine: Quarantine,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         platform: WatchedPlatform,
         random: Random,
         has_succeeded: Callable[[int], bool],
@@ -111,7 +111,7 @@
                 self._quarantine.on_success(fingerprint)
         self._on_change()
 
-    def read_record(self, value: object) -> None:
+    def merge_record(self, value: object) -> None:
         """Merge what an instance has persisted.
 
         Raises
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -23,7 +23,7 @@
     TokenRequest,
 )
 
-from rattanfork_node.member.task import MemberTask
+from rattanfork_node.member.gossip_task import GossipTask
 
 #: Nodes of each data centre that issue tokens; each account falls to one of them.
 _ISSUERS = 8
@@ -47,7 +47,7 @@
         Source of jitter.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends and receives datagrams.
     bound : QuotaBound
         By how much limits may be exceeded.
@@ -62,7 +62,7 @@
         clock: Clock,
         random: Random,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         bound: QuotaBound,
         accounts: Callable[[], AccountIndex | None],
         has_joined: Callable[[], bool],
@@ -105,7 +105,7 @@
         """Take in tokens of another node."""
         self.leases.on_reply(reply.number, reply.tokens, reply.wait / 1000)
 
-    def on_member(self, member: Member, before: MemberStatus | None) -> None:
+    def on_status_change(self, member: Member, before: MemberStatus | None) -> None:
         """Take note of who failed, and who is back."""
         if member.status == MemberStatus.ALIVE:
             self._doubtful.pop(member.instance, None)
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import Member, Membership
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 
 
 def record(name: str, **changes: object) -> Member:
@@ -19,7 +19,7 @@
     """
     clock = ManualClock(100.0)
     membership = Membership(clock, Random(1), record("me"))
-    directory = Directory(clock, Random(1), membership)
+    directory = InstanceDirectory(clock, Random(1), membership)
     membership.merge([record("other")])
     state = directory.picker("s").states["other@b"]
     state.latency, state.failures = 0.5, 0.9
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
@@ -6,7 +6,7 @@
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.hints import GateReports
 from rattanfork_core.membership import GateNews, Member, Membership
-from rattanfork_node.member.gate_news import GateNewsTask
+from rattanfork_node.member.gate_report_task import GateReportTask
 
 
 class Sent:
@@ -33,7 +33,7 @@
         self.gate = SimpleNamespace(
             accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
         )
-        self.task = GateNewsTask(self.reports, self.membership, self.sent, self.gate)
+        self.task = GateReportTask(self.reports, self.membership, self.sent, self.gate)
 
     def tick(self, count: int = 1) -> None:
         for _ in range(count):
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quarantine_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quarantine_task.py
@@ -145,7 +145,7 @@
     await until(lambda: old.row is not None)
     fresh = World(platform, name="n2")
     join = JoinTask(
-        Random(1), platform, fresh.membership, fresh.sent, fresh.task.read_record
+        Random(1), platform, fresh.membership, fresh.sent, fresh.task.merge_record
     )
     join.start()
     await until(lambda: join.joined)
@@ -174,14 +174,14 @@
 )
 def test_record_of_another_writer_is_refused(value):
     with pytest.raises(ValueError, match="record of the quarantine"):
-        World().task.read_record(value)
+        World().task.merge_record(value)
 
 
 def test_malformed_fingerprints_in_a_record_are_refused():
     row = to_row([CrashReport(1, 5, (7,))], 1_000_000)
     row["crashes"][0][2] = ["xyz"]
     with pytest.raises(ValueError, match="xyz"):
-        World().task.read_record(row)
+        World().task.merge_record(row)
 
 
 def test_update_travels_in_a_datagram():
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
@@ -52,7 +52,7 @@
             lambda: self.index,
             lambda: self.joined,
         )
-        self.membership.on_status = self.task.on_member
+        self.membership.on_status = self.task.on_status_change
         self.verdicts: list[Verdict] = []
 
     def take(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from rattanfork_core.revision import RevisionState
 
-    from rattanfork_node.member import MemberTask
+    from rattanfork_node.member import GossipTask
     from rattanfork_node.peer.link import PeerLink
     from rattanfork_node.telemetry import Counters
 
@@ -46,9 +46,9 @@
         self._counters = counters
         self._ledgers: OrderedDict[str, ConnectionLedger] = OrderedDict()
         self._links: set[PeerLink] = set()
-        self._member: MemberTask | None = None
+        self._member: GossipTask | None = None
 
-    def connect(self, member: MemberTask) -> None:
+    def connect(self, member: GossipTask) -> None:
         """Take the member task, which is made after this."""
         self._member = member
 
@@ -74,7 +74,7 @@
 
     def on_sync(self, link: PeerLink, request: SyncRequest) -> None:
         """Reply with the records that differ."""
-        members = self._member.records_differing(request)
+        members = self._member.differing_records(request)
         link.send(SyncReply(request.number, members))
 
     def on_closed(self, link: PeerLink) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -31,7 +31,7 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import Exchange, HeaderNames
 from rattanfork_node.http1.handler import RequestHandler
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import PeerPool
 from rattanfork_node.relay.admitted import Admitted, Attempted
 from rattanfork_node.relay.client_accounts import ClientAccounts
@@ -86,7 +86,7 @@
         Routes.
     rules : RevisionState
         The operators' ordered rules; they stand above the routes.
-    directory : Directory
+    directory : InstanceDirectory
         Who serves what.
     membership : Membership
         Told of members that are gone.
@@ -114,7 +114,7 @@
         names: HeaderNames,
         configuration: ConfigurationHolder,
         rules: RevisionState,
-        directory: Directory,
+        directory: InstanceDirectory,
         membership: Membership,
         pool: PeerPool,
         gate: Gate,
@@ -135,7 +135,7 @@
         #: Services behind the operations that callers ask for here.
         self.reach = ChainReach()
         self._reports = reports
-        self._chain = ChainThresholds(reports, self.reach, directory.size)
+        self._chain = ChainThresholds(reports, self.reach, directory.instance_count)
         self.my_name = membership.me.name
         self._journal = journal
         self._accounts = accounts
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -20,7 +20,7 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HeaderNames, UpstreamAnswer
 from rattanfork_node.http1.exchange import Exchange
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, Run, RunReply
 from rattanfork_node.relay import ClientAccounts, Journal, Relay, RelaySettings
 from rattanfork_node.relay.gate import Gate
@@ -304,7 +304,7 @@
             HeaderNames(),
             holder,
             self.rules,
-            Directory(self.clock, Random(1), membership),
+            InstanceDirectory(self.clock, Random(1), membership),
             membership,
             self.pool,
             self.gate,
