--- a/packages/rattanfork-node/rattanfork_node/config/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/config/__init__.py
@@ -1,5 +1,5 @@
-"""How a node learns its configuration and its rules.
+"""Tasks that keep a node's configuration and rules up to date.
 
-Rules bring a large library for checking documents, so the modules here are
-imported one by one.
+Modules are imported individually: those for the rules load a large validation
+library that the others do not need.
 """
--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration of a node up to date."""
+"""Follows the configuration row of the store, with peers as a fallback."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,37 +9,37 @@
 from rattanfork_core.revision import ConfigurationLease
 from rattanfork_platform import PlatformDownError, Rows, WatchedPlatform
 
-from rattanfork_node.config.follower import Follower
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.config.peer_choice import PeerChoice
+from rattanfork_node.config.peer_selector import PeerSelector
 from rattanfork_node.config.row_watch import RowWatch
+from rattanfork_node.config.store_replica import StoreReplica
 from rattanfork_node.member import GossipTask
 from rattanfork_node.peer import ConfigurationRequest, LinkLostError, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Seconds for which one watch of the store waits; each end of a wait is one call.
-_WATCH_WAIT = 20.0
-#: Seconds between tries while the store does not answer: first and longest.
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 1.0
-#: Seconds between questions to peers while they hold something newer.
-_ASK_PAUSE = 0.15
-#: Seconds that a peer may take to answer.
-_ASK_TIMEOUT = 0.6
+#: Longest wait of one long poll; each poll that expires costs the store one call.
+_WATCH_WAIT_S = 20.0
+#: Bounds of the exponential back-off while the store does not answer.
+_MIN_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
+#: Interval between requests to peers while a newer version is known to exist.
+_PEER_POLL_INTERVAL_S = 0.15
+_PEER_TIMEOUT_S = 0.6
 
 
-class ConfigurationTask(Follower):
-    """Learns configurations from the store, and from peers.
+class ConfigurationTask(StoreReplica):
+    """Fetches new configurations from the store and from peers.
 
     Explanation
     ===========
 
-    A few nodes of each data centre watch the store, so that what a change costs
-    there does not grow with the fleet.  The
-    version held rides on the datagrams of the membership; a node that hears
-    of a newer one than its own asks a peer for it.  So a node that the store
-    turns away, or whose watch has gone silent, is behind by a datagram only.
-    What all watches have missed is found by who looks in turn.
+    Only a few nodes of each data centre watch the store, so the load of a change
+    on the store does not grow with the fleet.  Each gossip message carries the
+    version that its sender holds; a node that sees a newer version than its own
+    requests the document from a peer.  A node that cannot reach the store, or
+    whose watch has stalled, therefore lags by the gossip delay only.  A change
+    that every watch missed is found by the periodic polls of
+    :class:`ConfirmationTask`.
 
     Parameters
     ==========
@@ -47,25 +47,25 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of choices and jitter.
+        Source of peer choices and jitter.
     holder : ConfigurationHolder
-        The configuration in force.
+        Receives the configurations.
     platform : WatchedPlatform
         The store.
     table, key : str
-        The row that holds the configuration.
+        Row that holds the configuration.
     membership : Membership
-        Who is there.
-    member_task : GossipTask
-        Hears the versions that others hold.
+        Membership view of this node.
+    gossip_task : GossipTask
+        Reports the newest version seen in gossip.
     pool : PeerPool
         Connections to other nodes.
     counters : Counters
-        What happened.
+        Event counters.
     on_duty : callable
-        Whether this node watches the store now.
+        Returns whether this node currently watches the store.
     lease : ConfigurationLease or None
-        Told when the store held nothing newer.
+        Renewed whenever the store confirms the configuration.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         table: str,
         key: str,
         membership: Membership,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         pool: PeerPool,
         counters: Counters,
         on_duty: Callable[[], bool] = lambda: True,
@@ -86,89 +86,90 @@
         self._clock = clock
         self._random = random
         self._holder = holder
-        self._watch = RowWatch(platform, table, key, _WATCH_WAIT, on_duty)
+        self._watch = RowWatch(platform, table, key, _WATCH_WAIT_S, on_duty)
         self._key = key
         self._lease = lease or ConfigurationLease(BootClock())
         self._membership = membership
-        self._peers = PeerChoice(random, membership)
-        self._member_task = member_task
+        self._peers = PeerSelector(random, membership)
+        self._gossip_task = gossip_task
         self._pool = pool
         self._counters = counters
         self._tasks: list[asyncio.Task] = []
-        self._store_answers = True
+        self._store_reachable = True
 
     @property
-    def behind(self) -> bool:
-        """Whether another node holds something newer."""
-        return self._member_task.newest_configuration > self._holder.version
-
-    async def look(self, store_version: int) -> int:
-        """Ask the store whether it holds something newer; take it if so."""
-        if store_version and self._watch.known >= store_version:
-            return self._watch.known
-        asked_at = self._lease.now()
-        if self._take(await self._watch.look()):
-            self._watch.overtaken()
-        self._lease.confirm(asked_at)
-        return self._watch.known
+    def outdated(self) -> bool:
+        """Whether another node holds a newer version."""
+        return self._gossip_task.newest_configuration > self._holder.version
+
+    async def refresh(self, store_version: int) -> int:
+        """Poll the store and apply a newer configuration."""
+        if store_version and self._watch.known_version >= store_version:
+            return self._watch.known_version
+        requested_at = self._lease.now()
+        if self._apply_rows(await self._watch.poll()):
+            self._watch.restart()
+        self._lease.confirm(requested_at)
+        return self._watch.known_version
 
     def start(self) -> None:
-        """Begin to watch the store and to listen to peers."""
+        """Start watching the store and polling peers."""
         self._tasks = [
-            asyncio.ensure_future(self._follow_store()),
-            asyncio.ensure_future(self._follow_peers()),
+            asyncio.ensure_future(self._run_store_watch()),
+            asyncio.ensure_future(self._run_peer_polling()),
         ]
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background tasks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _follow_store(self) -> None:
-        pause = _FIRST_PAUSE
+    async def _run_store_watch(self) -> None:
+        delay = _MIN_RETRY_DELAY_S
         while True:
-            asked_at = self._lease.now()
+            requested_at = self._lease.now()
             try:
-                rows = await self._watch.next()
+                rows = await self._watch.next_change()
             except PlatformDownError as error:
-                self._note_store(False, str(error))
-                await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
-                pause = min(_LONGEST_PAUSE, 2 * pause)
+                self._set_store_reachable(False, str(error))
+                await asyncio.sleep(delay * self._random.uniform(0.7, 1.3))
+                delay = min(_MAX_RETRY_DELAY_S, 2 * delay)
                 continue
-            pause = _FIRST_PAUSE
+            delay = _MIN_RETRY_DELAY_S
             if rows is not None:
-                self._take(rows)
-                self._lease.confirm(asked_at)
+                self._apply_rows(rows)
+                self._lease.confirm(requested_at)
 
-    def _take(self, rows: Rows) -> bool:
-        self._note_store(True, "")
+    def _apply_rows(self, rows: Rows) -> bool:
+        self._set_store_reachable(True, "")
         row = rows.rows.get(self._key)
-        return row is not None and self._offer(row.value, "store")
+        return row is not None and self._apply_document(row.value, "store")
 
-    async def _follow_peers(self) -> None:
+    async def _run_peer_polling(self) -> None:
         while True:
-            await asyncio.sleep(_ASK_PAUSE * self._random.uniform(0.7, 1.3))
-            # A store that answers does so before the first of these; a silent one
-            # takes over a second to be known for it, and callers wait meanwhile.
-            if self.behind or self._holder.current is None:
-                await self._ask_peer()
-
-    async def _ask_peer(self) -> None:
-        member = self._peers.next(self._member_task.configuration_source)
+            await asyncio.sleep(_PEER_POLL_INTERVAL_S * self._random.uniform(0.7, 1.3))
+            # A responsive store has answered before the first iteration.  A silent
+            # one is detected only after more than a second, during which callers
+            # would wait.
+            if self.outdated or self._holder.current is None:
+                await self._fetch_from_peer()
+
+    async def _fetch_from_peer(self) -> None:
+        member = self._peers.select(self._gossip_task.configuration_source)
         if member is None:
             return
         try:
-            async with asyncio.timeout(_ASK_TIMEOUT):
+            async with asyncio.timeout(_PEER_TIMEOUT_S):
                 link = await self._pool.open((member.host, member.peer_port))
                 request = ConfigurationRequest(link.next_number(), self._holder.version)
                 reply = await link.ask(request)
         except (LinkLostError, TimeoutError):
             self._counters.events["configuration.peer-lost"] += 1
             return
-        if reply.document and self._offer(reply.document, "peer"):
-            self._watch.overtaken()
+        if reply.document and self._apply_document(reply.document, "peer"):
+            self._watch.restart()
 
-    def _offer(self, document: bytes, source: str) -> bool:
+    def _apply_document(self, document: bytes, source: str) -> bool:
         try:
             changed = self._holder.offer(document)
         except ValueError as error:
@@ -183,11 +184,11 @@
             self._membership.hasten()
         return changed
 
-    def _note_store(self, answers: bool, error: str) -> None:
-        if answers == self._store_answers:
+    def _set_store_reachable(self, reachable: bool, error: str) -> None:
+        if reachable == self._store_reachable:
             return
-        self._store_answers = answers
-        if answers:
+        self._store_reachable = reachable
+        if reachable:
             log_change("store_regained")
         else:
             log_change("store_lost", error=error)
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -1,4 +1,4 @@
-"""Sees to it that somebody asks the store whether there is something newer."""
+"""Periodic confirmation that the store holds no newer configuration or rules."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,39 +8,40 @@
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_platform import PlatformDownError
 
-from rattanfork_node.config.follower import Follower
+from rattanfork_node.config.store_replica import StoreReplica
 from rattanfork_node.member import GossipTask
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Seconds between two looks at the schedule; of a node outside the group, which waits
-#: for seconds, it would be most of what an idle node does.
-_TICK = 0.05
-_OUTSIDE_TICK = 0.25
-#: Most members that are told at once; the others hear from these.
-_MOST_TOLD = 16
-#: Seconds without a confirmation from which a node says that it has none: with a
-#: store that answers, twice what it takes in the worst case.
-_UNCONFIRMED = 3.0
+#: Interval at which a node of the polling group checks the schedule.
+_MEMBER_TICK_S = 0.05
+#: The same for all other nodes.  Their delays are seconds, and the shorter interval
+#: would account for most of the CPU use of an idle node.
+_OUTSIDER_TICK_S = 0.25
+#: Members notified directly of a confirmation; gossip reaches the others.
+_MAX_NOTIFIED = 16
+#: Age from which confirmation counts as lost: twice the worst case with a responsive
+#: store.
+_UNCONFIRMED_AFTER_S = 3.0
 
 
 class ConfirmationTask:
-    """Asks the store when the schedule says so, and tells the others.
+    """Polls the store on a schedule and disseminates the result.
 
     Parameters
     ==========
 
     random : Random
-        Source of the choice whom to tell.
+        Source of the choice of members to notify.
     schedule : ConfirmationSchedule
-        When to ask.
+        Decides when to poll.
     roster : DutyRoster
-        Who asks in turn.
-    member_task : GossipTask
-        Tells others, and hears them.
-    followers : sequence of Follower
-        What is kept up to date.
+        Group of nodes that take turns polling the store.
+    gossip_task : GossipTask
+        Sends the confirmation to other members.
+    replicas : sequence of StoreReplica
+        Data to refresh, in this order.
     counters : Counters
-        What happened.
+        Event counters.
     """
 
     def __init__(
@@ -48,71 +49,73 @@
         random: Random,
         schedule: ConfirmationSchedule,
         roster: DutyRoster,
-        member_task: GossipTask,
-        followers: Sequence[Follower],
+        gossip_task: GossipTask,
+        replicas: Sequence[StoreReplica],
         counters: Counters,
     ) -> None:
         self._random = random
         self._schedule = schedule
         self._roster = roster
-        self._member_task = member_task
-        self._followers = followers
+        self._gossip_task = gossip_task
+        self._replicas = replicas
         self._counters = counters
-        self._view = -1
+        self._roster_version = -1
         self._confirmed = True
         self._task: asyncio.Task | None = None
 
     @property
     def age(self) -> float:
-        """Seconds since the store held nothing newer than this node."""
+        """Seconds since the store last confirmed what this node holds."""
         return self._schedule.age
 
     def start(self) -> None:
-        """Begin."""
+        """Start the background task."""
         self._task = asyncio.ensure_future(self._run())
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background task."""
         if self._task is not None:
             self._task.cancel()
 
     def confirm_soon(self) -> None:
-        """Ask the store soon, whoever else has asked."""
+        """Poll the store soon, even if another node has just done so."""
         self._schedule.hasten()
 
     def confirmation_age_ms(self) -> int:
-        """Return what others are told of the age, in milliseconds."""
-        known = self._schedule.confirmed and not self._behind()
+        """Return the confirmation age in ms to gossip; NEVER if there is none."""
+        known = self._schedule.confirmed and not self._outdated()
         return int(self._schedule.age * 1000) if known else NEVER
 
     def on_held_versions(self, held: HeldVersions) -> None:
-        """Take in what another node holds."""
-        task = self._member_task
+        """Adopt the confirmation age of another node if it applies here."""
+        task = self._gossip_task
         older = (
             held.configuration < task.newest_configuration
             or held.rules < task.newest_rules
         )
-        # A word about something older says nothing of the newest; and who is
-        # behind asks for itself until it has what the others hold.
-        if held.confirmed != NEVER and not older and not self._behind():
+        # A confirmation of an older version proves nothing about the newest.  A
+        # node that is outdated polls for itself until it has caught up.
+        if held.confirmed != NEVER and not older and not self._outdated():
             self._schedule.hear(held.confirmed / 1000)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_TICK if self._roster.mine else _OUTSIDE_TICK)
-            self._note_age()
-            if self._roster.version != self._view:
-                self._regroup()
+            await asyncio.sleep(
+                _MEMBER_TICK_S if self._roster.mine else _OUTSIDER_TICK_S
+            )
+            self._report_age()
+            if self._roster.version != self._roster_version:
+                self._update_group()
             if self._schedule.due():
-                await self._ask()
+                await self._confirm_with_store()
 
-    async def _ask(self) -> None:
+    async def _confirm_with_store(self) -> None:
         self._schedule.begin()
         succeeded = False
         try:
             version = 0
-            for follower in self._followers:
-                version = await follower.look(version)
+            for replica in self._replicas:
+                version = await replica.refresh(version)
             succeeded = True
         except PlatformDownError:
             self._counters.events["confirmation.unanswered"] += 1
@@ -121,19 +124,19 @@
         if succeeded:
             self._counters.events["confirmation.asked"] += 1
             others = self._roster.others
-            told = min(_MOST_TOLD, len(others))
-            self._member_task.tell(self._random.sample(others, told))
+            notified = min(_MAX_NOTIFIED, len(others))
+            self._gossip_task.push_held_versions(self._random.sample(others, notified))
 
-    def _behind(self) -> bool:
-        return any(follower.behind for follower in self._followers)
+    def _outdated(self) -> bool:
+        return any(replica.outdated for replica in self._replicas)
 
-    def _regroup(self) -> None:
+    def _update_group(self) -> None:
         roster = self._roster
-        self._view = roster.version
+        self._roster_version = roster.version
         self._schedule.join(len(roster.names), roster.fleet, roster.mine)
 
-    def _note_age(self) -> None:
-        confirmed = self._schedule.age < _UNCONFIRMED
+    def _report_age(self) -> None:
+        confirmed = self._schedule.age < _UNCONFIRMED_AFTER_S
         if confirmed != self._confirmed:
             self._confirmed = confirmed
             log_change("confirmation_regained" if confirmed else "confirmation_lost")
--- a/packages/rattanfork-node/rattanfork_node/config/holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one node."""
+"""The configuration in force at a node."""
 
 from collections.abc import Callable
 
@@ -6,20 +6,20 @@
 
 
 class ConfigurationHolder:
-    """Holds the newest configuration that the node has seen.
+    """Holds the newest configuration that this node has received.
 
     Explanation
     ===========
 
-    Versions only rise here, whatever the order and source they come in.  The
-    document is kept as its source wrote it, for peers that can't reach the
-    store.
+    Versions increase monotonically, regardless of the order and the source in
+    which documents arrive.  The original document is kept to serve peers that
+    cannot reach the store.
 
     Parameters
     ==========
 
     decode : callable
-        Reads a document; raises ValueError if it is not a configuration.
+        Parses a document; raises ValueError if it is not a configuration.
     """
 
     def __init__(self, decode: Callable[[bytes], Configuration]) -> None:
@@ -27,32 +27,32 @@
         self._current: Configuration | None = None
         self._document = b""
         self._turns: dict[str, tuple[Route, WeightedTurns]] = {}
-        #: Called after another configuration has come into force.
+        #: Called after a new configuration has come into force.
         self.on_change: Callable[[Configuration], None] = lambda _: None
 
     @property
     def current(self) -> Configuration | None:
-        """The configuration in force; None while none is known."""
+        """The configuration in force, or None before the first."""
         return self._current
 
     @property
     def version(self) -> int:
-        """Its version; 0 while none is known."""
+        """Version of the configuration in force, or 0 before the first."""
         return self._current.version if self._current is not None else 0
 
     @property
     def document(self) -> bytes:
-        """It as its source wrote it."""
+        """The document in force, byte for byte as received."""
         return self._document
 
     def offer(self, document: bytes) -> bool:
-        """Take in a document; return whether it came into force.
+        """Apply a document if it is newer; return whether it was applied.
 
         Raises
         ======
 
         ValueError
-            If it is not a configuration.
+            If the document is not a configuration.
         """
         configuration = self._decode(document)
         if configuration.version <= self.version:
@@ -65,11 +65,11 @@
         return True
 
     def next_service(self, route: Route) -> str | None:
-        """Return the service whose turn it is among the shares of a route."""
+        """Choose the service of the next request by the weights of a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        known = self._turns.get(route.name)
-        if known is None or known[0].shares != route.shares:
-            known = (route, WeightedTurns(route.shares))
-            self._turns[route.name] = known
-        return known[1].next()
+        entry = self._turns.get(route.name)
+        if entry is None or entry[0].shares != route.shares:
+            entry = (route, WeightedTurns(route.shares))
+            self._turns[route.name] = entry
+        return entry[1].next()
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -1,4 +1,4 @@
-"""Keeps the proof recent that a node's configuration is the newest."""
+"""Renewal of the lease on the configuration."""
 
 from collections.abc import Callable
 from math import ceil, inf, isfinite
@@ -17,46 +17,47 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.member import GossipTask
 
-#: Age of the proof, in seconds, from which a peer is asked for a newer one, and
-#: seconds between two requests.
-_RENEW_AFTER = 0.6
-_PAUSE = 0.25
-#: Peers that are asked while nobody is known to have a newer one.
-_ASKED = 2
-#: Age, in seconds, from which a node asks the store itself: a reader, and any other.
-_READER_ASKS_AFTER = 1.5
-_OTHER_ASKS_AFTER = 2.5
-#: Seconds by which a peer's proof has to be newer to be worth a request.
-_WORTHWHILE = 0.2
+#: Lease age from which peers are asked for a newer confirmation.
+_RENEW_AFTER_S = 0.6
+#: Interval between requests to peers.
+_REQUEST_INTERVAL_S = 0.25
+#: Random readers asked while no peer has reported a newer confirmation.
+_FALLBACK_PEERS = 2
+#: Lease age from which a reader, or any other node, polls the store itself.
+_READER_STORE_AFTER_S = 1.5
+_OTHER_STORE_AFTER_S = 2.5
+#: Least gain in age for which a peer is asked.
+_MIN_GAIN_S = 0.2
 
 
 class LeaseTask:
-    """Renews a lease on the configuration from peers, and from the store without them.
+    """Renews the lease on the configuration from peers, or else from the store.
 
     Explanation
     ===========
 
-    Readers ask the store in turn, and report on the datagrams of the membership how
-    lately they did.  A node asks the peer that reported the newest proof for it, so
-    what the store is asked does not grow with the fleet.
+    The lease proves that the configuration was the newest at a recent time.
+    Readers take turns polling the store and gossip the age of their confirmation.
+    Every other node renews from the peer that reported the newest one, so the load
+    on the store does not grow with the fleet.
 
     Parameters
     ==========
 
     random : Random
-        Source of the choice whom to ask.
+        Source of peer choices and jitter.
     lease : ConfigurationLease
-        The lease.
+        Lease to renew.
     configuration : ConfigurationHolder
-        The configuration in force.
+        Holder of the configuration in force.
     membership : Membership
-        Who is there.
+        Membership view of this node.
     roster : DutyRoster
-        Who asks the store in turn.
-    member_task : GossipTask
-        Sends and receives datagrams.
+        Readers, which take turns polling the store.
+    gossip_task : GossipTask
+        Sends and receives gossip messages.
     ask_store : callable
-        Has this node ask the store soon.
+        Makes this node poll the store soon.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         configuration: ConfigurationHolder,
         membership: Membership,
         roster: DutyRoster,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         ask_store: Callable[[], None],
     ) -> None:
         self._random = random
@@ -74,76 +75,83 @@
         self._configuration = configuration
         self._membership = membership
         self._roster = roster
-        self._member_task = member_task
+        self._gossip_task = gossip_task
         self._ask_store = ask_store
-        self._next_request = -inf
-        self._next_store = -inf
+        self._next_peer_request = -inf
+        self._next_store_request = -inf
         self._urgent = False
-        #: The peer that reported the newest proof, and when that was made.
-        self._freshest: Member | None = None
-        self._proven_at = -inf
-        #: Called when the proof became newer.
-        self.on_renewed: Callable[[], None] = _nothing
-        member_task.on_confirmed = self.on_reported
-        member_task.direct[LeaseRequest] = self.on_request
-        member_task.direct[LeaseReply] = self.on_reply
-
-    def on_reported(self, sender: Member, age: int) -> None:
-        """Take note of the age of a peer's proof, in milliseconds."""
-        proven_at = self._lease.now() - age / 1000
-        if age != NEVER and proven_at > self._proven_at:
-            self._freshest, self._proven_at = sender, proven_at
+        #: Peer that reported the newest confirmation, and the time of the latter.
+        self._freshest_peer: Member | None = None
+        self._freshest_confirmed_at = -inf
+        #: Called when the lease was renewed.
+        self.on_renewed: Callable[[], None] = _ignore_renewal
+        gossip_task.on_confirmation_age = self.on_confirmation_age
+        gossip_task.direct_handlers[LeaseRequest] = self.on_request
+        gossip_task.direct_handlers[LeaseReply] = self.on_reply
+
+    def on_confirmation_age(self, sender: Member, age: int) -> None:
+        """Record the confirmation age of a peer, in milliseconds."""
+        confirmed_at = self._lease.now() - age / 1000
+        if age != NEVER and confirmed_at > self._freshest_confirmed_at:
+            self._freshest_peer, self._freshest_confirmed_at = sender, confirmed_at
 
     def on_request(self, request: LeaseRequest, address: tuple[str, int]) -> None:
-        """Reply with the age of the own proof."""
+        """Reply with the age of the local lease."""
         age = self._lease.age
         milliseconds = ceil(age * 1000) if isfinite(age) else NEVER
         version = self._configuration.version
-        self._member_task.send(
+        self._gossip_task.send(
             LeaseReply(request.number, version, milliseconds), address
         )
 
     def on_reply(self, reply: LeaseReply, address: tuple[str, int]) -> None:
-        """Take in a peer's proof."""
+        """Renew the lease from the confirmation of a peer."""
         if reply.version > self._configuration.version:
-            # The peer's proof is of a configuration that is not held here yet.
-            self._member_task.note_configuration(reply.version)
+            # The peer confirms a configuration that this node does not hold yet.
+            self._gossip_task.observe_configuration(reply.version)
         elif reply.age != NEVER and self._lease.on_reply(
             reply.number, reply.age / 1000
         ):
             self.on_renewed()
 
     def renew_soon(self) -> None:
-        """Ask at the next tick, as a request waits for a newer proof."""
+        """Ask peers at the next tick, as a request waits for a newer lease."""
         self._urgent = True
 
     def tick(self) -> None:
-        """Ask if the proof grows old; call ten times a second."""
+        """Renew an ageing lease; call ten times a second."""
         current = self._configuration.current
         if current is None or current.accounts is None:
             return
         now, age = self._lease.now(), self._lease.age
-        due = age > _RENEW_AFTER and now >= self._next_request
+        due = age > _RENEW_AFTER_S and now >= self._next_peer_request
         if due or self._urgent:
             self._urgent = False
-            self._next_request = now + _PAUSE * self._random.uniform(0.8, 1.2)
-            for member in self._peers(now - age):
+            self._next_peer_request = now + _REQUEST_INTERVAL_S * self._random.uniform(
+                0.8, 1.2
+            )
+            for member in self._renewal_peers(now - age):
                 number = self._lease.ask()
-                self._member_task.send(LeaseRequest(number), member.address)
-        asks_after = _READER_ASKS_AFTER if self._roster.mine else _OTHER_ASKS_AFTER
-        if age > asks_after and now >= self._next_store:
-            self._next_store = now + self._random.uniform(0.5, 1.5)
+                self._gossip_task.send(LeaseRequest(number), member.address)
+        store_after_s = (
+            _READER_STORE_AFTER_S if self._roster.mine else _OTHER_STORE_AFTER_S
+        )
+        if age > store_after_s and now >= self._next_store_request:
+            self._next_store_request = now + self._random.uniform(0.5, 1.5)
             self._ask_store()
 
-    def _peers(self, confirmed_at: float) -> list[Member]:
-        """Return the peer that reported a newer proof, or readers at random."""
-        if self._freshest is not None and self._proven_at > confirmed_at + _WORTHWHILE:
-            return [self._freshest]
+    def _renewal_peers(self, confirmed_at: float) -> list[Member]:
+        """Return the peer with a newer confirmation, or random readers."""
+        if (
+            self._freshest_peer is not None
+            and self._freshest_confirmed_at > confirmed_at + _MIN_GAIN_S
+        ):
+            return [self._freshest_peer]
         others = self._roster.others
-        names = self._random.sample(others, min(_ASKED, len(others)))
+        names = self._random.sample(others, min(_FALLBACK_PEERS, len(others)))
         members = self._membership.members
         return [members[name] for name in names if name in members]
 
 
-def _nothing() -> None:
+def _ignore_renewal() -> None:
     pass
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -1,4 +1,4 @@
-"""Writes anew what a store has lost that came back from an older copy."""
+"""Repair of a store that was restored from an older backup."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,32 +10,34 @@
 from rattanfork_core.revision.record import HEAD_KEY
 from rattanfork_platform import PlatformDownError, WatchedPlatform
 
-from rattanfork_node.member.records import TABLE, lost_records, record_key
+from rattanfork_node.member.records import MEMBERS_TABLE, missing_records, record_key
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Seconds between two looks at the era.
-_LOOK = 0.25
-#: Readers that write, and seconds between one and the next: what the first has
-#: written the others find.
-_MOST_WRITERS = 3
-_TURN = 0.8
-#: Seconds between tries while the store does not answer: first and longest.
-_FIRST_PAUSE = 0.2
-_LONGEST_PAUSE = 2.0
-#: Records in one transaction; each counts twice, with its condition.
-_MOST_RECORDS = 50
+#: Interval at which the era of the store is checked.
+_ERA_CHECK_INTERVAL_S = 0.25
+#: Readers that repair the store.
+_MAX_WRITERS = 3
+#: Delay between the starts of two readers, so that later ones find the writes of
+#: earlier ones.
+_WRITER_STAGGER_S = 0.8
+#: Bounds of the exponential back-off while the store does not answer.
+_MIN_RETRY_DELAY_S = 0.2
+_MAX_RETRY_DELAY_S = 2.0
+#: Records of one transaction; each counts as two operations, write and condition.
+_MAX_RECORDS_PER_TRANSACTION = 50
 
 
 class RestoreTask:
-    """Writes anew what a store has lost that came back from an older copy.
+    """Rewrites the rows of nodes that a restored store has lost.
 
     Explanation
     ===========
 
-    What the operator and the upstreams wrote is written again by them.  The records of
-    nodes, the accepted rules and the quarantine were written by nodes; whoever wrote
-    them may not speak to the store for hours, so a few readers do it for all, from
-    what they hold.  Conditions keep them from overwriting what is newer.
+    A store that comes back from an older backup starts a new era.  The operator and
+    the upstreams rewrite their own rows.  Member records, accepted rules and the
+    quarantine were written by nodes, which may not contact the store again for
+    hours, so a few readers rewrite them for all from their local state.
+    Conditional writes keep them from overwriting newer rows.
 
     Parameters
     ==========
@@ -45,15 +47,15 @@
     platform : WatchedPlatform
         The store.
     roster : DutyRoster
-        Who reads the store in turn.
+        Readers, in the order of their turns.
     membership : Membership
-        Who is there.
+        Membership view of this node.
     rules : RevisionState
         The rules in force.
     persist_quarantine : callable
-        Writes what is quarantined; awaited.
+        Coroutine function that writes the quarantine to the store.
     counters : Counters
-        What happened.
+        Event counters.
     """
 
     def __init__(
@@ -77,17 +79,17 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Start the background task."""
         self._task = asyncio.ensure_future(self._run())
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background task."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_LOOK)
+            await asyncio.sleep(_ERA_CHECK_INTERVAL_S)
             before, self._era = self._era, self._platform.era
             if before and self._era != before:
                 self._counters.events["store.restored"] += 1
@@ -96,46 +98,49 @@
     async def _restore(self) -> None:
         names = self._roster.names
         me = self._membership.me.name
-        if me not in names[:_MOST_WRITERS]:
+        if me not in names[:_MAX_WRITERS]:
             return
         era = self._era
-        await asyncio.sleep(names.index(me) * _TURN)
-        pause = _FIRST_PAUSE
+        await asyncio.sleep(names.index(me) * _WRITER_STAGGER_S)
+        delay = _MIN_RETRY_DELAY_S
         while self._platform.era == era:
             try:
-                # First: if all nodes end now, nothing else protects the upstreams.
+                # The quarantine goes first: if all nodes terminate now, only the
+                # stored copy protects the upstreams.
                 await self._persist_quarantine()
-                members = await self._write_records()
+                members = await self._write_missing_records()
                 rules = await self._write_rules()
             except PlatformDownError:
-                await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
-                pause = min(_LONGEST_PAUSE, 2 * pause)
+                await asyncio.sleep(delay * self._random.uniform(0.7, 1.3))
+                delay = min(_MAX_RETRY_DELAY_S, 2 * delay)
                 continue
             log_change("store_rewritten", era=era, members=members, rules=rules)
             return
 
-    async def _write_records(self) -> int:
-        """Write the records that are lost; return how many there were.
+    async def _write_missing_records(self) -> int:
+        """Write the member records that the store lacks; return their number.
 
         Raises
         ======
 
         PlatformDownError
-            If it has to be done once more.
+            If the store does not answer, or a row changed concurrently; retry.
         """
-        found = await self._platform.scan(TABLE)
-        lost = iter(lost_records(found.rows, self._membership.present()))
+        found = await self._platform.scan(MEMBERS_TABLE)
+        missing = iter(missing_records(found.rows, self._membership.present()))
         written = 0
-        while batch := list(islice(lost, _MOST_RECORDS)):
-            checks = {record_key(m.instance): _version(found.rows, m) for m in batch}
+        while batch := list(islice(missing, _MAX_RECORDS_PER_TRANSACTION)):
+            checks = {
+                record_key(m.instance): _row_version(found.rows, m) for m in batch
+            }
             writes = {record_key(m.instance): list(m) for m in batch}
             if not await self._platform.transact(checks, writes):
-                raise PlatformDownError("a record was written meanwhile")
+                raise PlatformDownError("member records changed during the restore")
             written += len(batch)
         return written
 
     async def _write_rules(self) -> bool:
-        """Write the rules in force if the store has older ones."""
+        """Write the rules in force if those of the store are older."""
         held = self._rules.record
         if not held.order:
             return False
@@ -146,7 +151,7 @@
         return await self._platform.transact({HEAD_KEY: row.version}, commit.writes)
 
 
-def _version(rows: dict, member: Member) -> int:
+def _row_version(rows: dict, member: Member) -> int:
     row = rows.get(member.instance)
     return 0 if row is None else row.version
 
@@ -155,5 +160,5 @@
     try:
         return RulesRecord.from_row(value).order
     except ValueError:
-        # Written by somebody else; the accepted rules take its place.
+        # Malformed row of another writer; the accepted rules replace it.
         return -1
--- a/packages/rattanfork-node/rattanfork_node/config/row_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/row_watch.py
@@ -1,33 +1,33 @@
-"""Follows one row of the store."""
+"""Change notification for one row of the store."""
 
 import asyncio
 from collections.abc import Callable
 
 from rattanfork_platform import HistoryLostError, Rows, WatchedPlatform
 
-#: Seconds between two looks whether the watch has become this node's duty; until
-#: then the others of the group ask the store in turn.
-_DUTY_LOOK = 1.0
+#: Interval at which a node that does not watch checks whether it has to; meanwhile
+#: polls by the confirmation group find changes.
+_DUTY_CHECK_INTERVAL_S = 1.0
 
 
-def _always() -> bool:
+def _always_on_duty() -> bool:
     return True
 
 
 class RowWatch:
-    """Learns what becomes of one row, by a watch and by looking.
+    """Follows one row by long polls and by explicit reads.
 
     Explanation
     ===========
 
-    A watch brings a change at once, and cannot be trusted: a store that was
-    silent when it was asked, or a connection that went silent since, leaves it
-    waiting for its whole time.  Who learns of a change by another way therefore
-    says so by :meth:`overtaken`, and the watch is made anew.
+    A watch reports a change at once but can fail silently: if the store drops the
+    call, or the connection stalls, the watch blocks until its wait expires.  A
+    caller that receives a change from another source therefore calls
+    :meth:`restart`, which replaces the watch.
 
-    Each watch is a call to the store for every change and every end of its wait.  A
-    few nodes of a large fleet watch for all; the others read the row once, when
-    they start, and hear of changes from their peers.
+    A watch costs one call to the store for each change and each expired wait.  In a
+    large fleet only a few nodes watch; the others read the row once at start-up and
+    receive changes from peers.
 
     Parameters
     ==========
@@ -35,11 +35,11 @@
     platform : WatchedPlatform
         The store.
     table, key : str
-        The row.
-    wait : float
-        Seconds for which one watch waits.
+        Row to follow.
+    wait_s : float
+        Longest wait of one watch, in seconds.
     on_duty : callable
-        Whether this node watches now.
+        Returns whether this node currently watches the store.
     """
 
     def __init__(
@@ -47,24 +47,24 @@
         platform: WatchedPlatform,
         table: str,
         key: str,
-        wait: float,
-        on_duty: Callable[[], bool] = _always,
+        wait_s: float,
+        on_duty: Callable[[], bool] = _always_on_duty,
     ) -> None:
         self._platform = platform
         self._table = table
         self._key = key
-        self._wait = wait
+        self._wait_s = wait_s
         self._on_duty = on_duty
-        self._known: int | None = None
+        self._known_version: int | None = None
         self._watch: asyncio.Future[Rows] | None = None
 
     @property
-    def known(self) -> int:
-        """Version of the store up to which the row is known; 0 at first."""
-        return self._known or 0
+    def known_version(self) -> int:
+        """Store version up to which this row is known, or 0 before the first read."""
+        return self._known_version or 0
 
-    async def next(self) -> Rows | None:
-        """Wait for a change; None if the watch was overtaken or is others' duty.
+    async def next_change(self) -> Rows | None:
+        """Wait for a change; None if the watch was restarted or is not on duty.
 
         Raises
         ======
@@ -72,26 +72,26 @@
         PlatformDownError
             If the store does not answer.
         """
-        if self._known is None:
-            return self._take(await self._scan())
+        if self._known_version is None:
+            return self._record_version(await self._scan())
         if not self._on_duty():
-            await asyncio.sleep(_DUTY_LOOK)
+            await asyncio.sleep(_DUTY_CHECK_INTERVAL_S)
             return None
         self._watch = asyncio.ensure_future(
-            self._platform.watch(self._table, self._known, self._wait)
+            self._platform.watch(self._table, self._known_version, self._wait_s)
         )
         try:
             await asyncio.wait((self._watch,))
             if self._watch.cancelled():
                 return None
-            return self._take(self._watch.result())
+            return self._record_version(self._watch.result())
         except HistoryLostError:
-            return self._take(await self._scan())
+            return self._record_version(await self._scan())
         finally:
             self._watch.cancel()
 
-    async def look(self) -> Rows:
-        """Return what has changed up to now.
+    async def poll(self) -> Rows:
+        """Read the changes since the last known version.
 
         Raises
         ======
@@ -99,21 +99,23 @@
         PlatformDownError
             If the store does not answer.
         """
-        if self._known is None:
-            return self._take(await self._scan())
+        if self._known_version is None:
+            return self._record_version(await self._scan())
         try:
-            return self._take(await self._platform.changes(self._table, self._known))
+            return self._record_version(
+                await self._platform.changes(self._table, self._known_version)
+            )
         except HistoryLostError:
-            return self._take(await self._scan())
+            return self._record_version(await self._scan())
 
-    def overtaken(self) -> None:
-        """Make the watch anew: news came by another way before it told."""
+    def restart(self) -> None:
+        """Replace a pending watch after a change that it did not report."""
         if self._watch is not None:
             self._watch.cancel()
 
     async def _scan(self) -> Rows:
         return await self._platform.scan(self._table, self._key)
 
-    def _take(self, rows: Rows) -> Rows:
-        self._known = max(self.known, rows.version)
+    def _record_version(self, rows: Rows) -> Rows:
+        self._known_version = max(self.known_version, rows.version)
         return rows
--- a/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
@@ -1,4 +1,4 @@
-"""Keeps the rules of a node up to date."""
+"""Polls the rules table, for nodes whose store has no watches."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,19 +15,18 @@
 from rattanfork_node.peer import LinkLostError, PeerPool, RulesReply
 from rattanfork_node.telemetry import Counters, log_change
 
-_ASK_INTERVAL = 0.2
+_PEER_POLL_INTERVAL_S = 0.2
 
 
 class RulesPoller:
-    """Learns accepted rules from the table and from peers.
+    """Fetches accepted rules from the table and from peers.
 
     Explanation
     ===========
 
-    A bounded few members of each data centre read the table; all others
-    hear the number of the newest revision on the membership's datagrams and
-    fetch it from a peer.  The table's read rate so depends on the number of
-    data centres only.
+    A bounded number of members of each data centre poll the table.  All others
+    learn the newest revision from gossip and fetch it from a peer.  The read rate
+    of the table thus depends on the number of data centres, not on the fleet size.
 
     Parameters
     ==========
@@ -35,23 +34,23 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of choices and jitter.
+        Source of peer choices and jitter.
     state : RevisionState
         The rules in force.
     membership : Membership
-        Who is there.
+        Membership view of this node.
     pool : PeerPool
         Connections to other nodes.
     platform : Platform or None
-        The table.
+        Store that holds the table; None to use peers only.
     settings : RulesSettings
-        How rules are learned.
+        Read interval and number of readers.
     counters : Counters
-        What happened.
-    newest : callable
-        Returns the highest revision heard of on datagrams.
+        Event counters.
+    newest_revision : callable
+        Returns the newest revision order seen in gossip.
     on_changed : callable
-        Told when other rules are in force.
+        Called after new rules have come into force.
     """
 
     def __init__(
@@ -64,7 +63,7 @@
         platform: Platform | None,
         settings: RulesSettings,
         counters: Counters,
-        newest: Callable[[], int],
+        newest_revision: Callable[[], int],
         on_changed: Callable[[], None],
     ) -> None:
         self._clock = clock
@@ -75,55 +74,57 @@
         self._platform = platform
         self._settings = settings
         self._counters = counters
-        self._newest = newest
+        self._newest_revision = newest_revision
         self._on_changed = on_changed
-        self._reads = ReadSchedule(clock, random, settings.read_interval)
-        self._asks = ReadSchedule(clock, random, _ASK_INTERVAL, longest=1.0)
+        self._table_schedule = ReadSchedule(clock, random, settings.read_interval)
+        self._peer_schedule = ReadSchedule(
+            clock, random, _PEER_POLL_INTERVAL_S, longest=1.0
+        )
         self._background: set[asyncio.Task] = set()
 
     def tick(self) -> None:
-        """Start what is due; call several times a second."""
-        wanted = not self._state.ready or self._is_reader()
-        if self._platform is not None and self._reads.due() and wanted:
-            self._reads.begin()
-            self._start(self._read_table())
-        behind = self._newest() > self._state.order
-        if (behind or not self._state.ready) and self._asks.due():
-            self._asks.begin()
-            self._start(self._ask_peer())
+        """Start reads and peer requests that are due; call several times a second."""
+        reads_table = not self._state.ready or self._is_reader()
+        if self._platform is not None and self._table_schedule.due() and reads_table:
+            self._table_schedule.begin()
+            self._spawn(self._poll_table())
+        outdated = self._newest_revision() > self._state.order
+        if (outdated or not self._state.ready) and self._peer_schedule.due():
+            self._peer_schedule.begin()
+            self._spawn(self._fetch_from_peer())
 
     def read_soon(self) -> None:
-        """Read the table now: an operator has just changed it."""
-        self._reads.hasten()
-        if self._platform is not None and self._reads.due():
-            self._reads.begin()
-            self._start(self._read_table())
+        """Bring the next table read forward, after a change by an operator."""
+        self._table_schedule.hasten()
+        if self._platform is not None and self._table_schedule.due():
+            self._table_schedule.begin()
+            self._spawn(self._poll_table())
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background tasks."""
         for task in self._background:
             task.cancel()
 
-    def _start(self, work: object) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: object) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
     def _is_reader(self) -> bool:
         me = self._membership.me
-        same = (
+        local_names = (
             m.name
             for m in self._membership.present()
             if m.data_centre == me.data_centre
         )
-        return on_duty(me.name, same, "rules", self._settings.readers)
+        return on_duty(me.name, local_names, "rules", self._settings.readers)
 
-    async def _read_table(self) -> None:
+    async def _poll_table(self) -> None:
         succeeded = False
         try:
-            record = await self._newer_in_table()
-            rules = await self._load(record)
-            self._took(self._state.hear_from_store(record, rules), "table")
+            record = await self._read_newer_record()
+            rules = await self._parse_rules(record)
+            self._report_change(self._state.hear_from_store(record, rules), "table")
             succeeded = True
         except PlatformDownError:
             self._counters.events["table.unanswered"] += 1
@@ -131,9 +132,9 @@
             self._counters.events["table.bad-row"] += 1
             log_change("bad_rules_row", error=str(error))
         finally:
-            self._reads.end(succeeded)
+            self._table_schedule.end(succeeded)
 
-    async def _newer_in_table(self) -> RulesRecord | None:
+    async def _read_newer_record(self) -> RulesRecord | None:
         row = await self._platform.read(HEAD_KEY)
         if not row.version:
             return None
@@ -143,35 +144,35 @@
         row = await self._platform.read(history_key(head.revision))
         return RulesRecord.from_row(row.value)
 
-    async def _ask_peer(self) -> None:
+    async def _fetch_from_peer(self) -> None:
         succeeded = False
         try:
-            member = self._choose_peer()
+            member = self._select_peer()
             if member is not None:
                 address = (member.host, member.peer_port)
                 data_centre, reply = await self._pool.ask_rules(
                     address, self._state.order
                 )
-                await self._hear(data_centre, reply)
+                await self._apply_reply(data_centre, reply)
                 succeeded = True
         except LinkLostError:
             self._counters.events["rules.peer-lost"] += 1
         except FindingsError as error:
             log_change("bad_rules_from_peer", error=str(error))
         finally:
-            self._asks.end(succeeded)
+            self._peer_schedule.end(succeeded)
 
-    async def _load(self, record: RulesRecord | None) -> RuleSet | None:
+    async def _parse_rules(self, record: RulesRecord | None) -> RuleSet | None:
         if record is None or record.order <= self._state.order:
             return None
-        # A large document takes a second to read; on the event loop, every
-        # call would wait for it.
+        # Parsing a large document takes about a second, which would block the
+        # event loop and every request on it.
         name = f"revision {record.revision}"
         return await asyncio.to_thread(load_rules, record.text, name)
 
-    async def _hear(self, data_centre: str, reply: RulesReply) -> None:
+    async def _apply_reply(self, data_centre: str, reply: RulesReply) -> None:
         if not reply.ready:
-            # It is as fresh as this node, and knows nothing.
+            # The peer has not loaded any rules yet either.
             return
         record = RulesRecord(
             reply.revision,
@@ -181,25 +182,27 @@
             reply.text,
             reply.era,
         )
-        # Without text it is the revision this node holds already.
+        # A reply without text confirms the revision that this node holds.
         newer = record if reply.text else None
-        rules = await self._load(newer)
-        self._took(self._state.hear_from_peer(data_centre, newer, rules), "peer")
+        rules = await self._parse_rules(newer)
+        self._report_change(
+            self._state.hear_from_peer(data_centre, newer, rules), "peer"
+        )
 
-    def _took(self, changed: bool, source: str) -> None:
+    def _report_change(self, changed: bool, source: str) -> None:
         if changed:
             self._counters.events[f"rules.from-{source}"] += 1
             log_change("rules_in_force", revision=self._state.revision, source=source)
             self._on_changed()
 
-    def _choose_peer(self) -> Member | None:
+    def _select_peer(self) -> Member | None:
         me = self._membership.me
         others = [m for m in self._membership.present() if m.name != me.name]
         if not others:
             return None
         if not self._state.ready:
-            # Another data centre each time, for one alone is not enough.
-            centres = sorted({m.data_centre for m in others})
-            centre = self._random.choice(centres)
-            others = [m for m in others if m.data_centre == centre]
+            # Start-up needs replies from several data centres; draw one uniformly.
+            data_centres = sorted({m.data_centre for m in others})
+            data_centre = self._random.choice(data_centres)
+            others = [m for m in others if m.data_centre == data_centre]
         return self._random.choice(others)
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
@@ -1,4 +1,4 @@
-"""Keeps the ordered rules of a node up to date by watching the store."""
+"""Follows the rules row of the store, with peers as a fallback."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,48 +15,48 @@
     WatchedPlatform,
 )
 
-from rattanfork_node.config.follower import Follower
-from rattanfork_node.config.peer_choice import PeerChoice
+from rattanfork_node.config.peer_selector import PeerSelector
 from rattanfork_node.config.row_watch import RowWatch
+from rattanfork_node.config.store_replica import StoreReplica
 from rattanfork_node.peer import LinkLostError, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 
 _TABLE, _, _HEAD = HEAD_KEY.partition("/")
-#: Seconds for which one watch of the store waits; rules change seldom.
-_WATCH_WAIT = 28.0
-#: Seconds between tries while the store does not answer, and between questions
-#: to peers meanwhile.
-_PAUSE = 0.5
-#: Seconds between questions to peers of a node that knows no rules yet; the word of
-#: two data centres is needed, so some questions are.
-_FRESH_PAUSE = 0.15
-_ASK_TIMEOUT = 0.6
+#: Longest wait of one long poll; rules change rarely.
+_WATCH_WAIT_S = 28.0
+#: Interval between calls while the store does not answer, and between requests to
+#: peers.
+_RETRY_INTERVAL_S = 0.5
+#: Interval between requests to peers before the first rules are known; shorter, as
+#: replies from two data centres are needed.
+_INITIAL_POLL_INTERVAL_S = 0.15
+_PEER_TIMEOUT_S = 0.6
 
 
-class RulesWatcher(Follower):
-    """Learns accepted rules by a watch of the store, or from peers without it.
+class RulesWatcher(StoreReplica):
+    """Fetches accepted rules by a watch of the store, or from peers.
 
     Parameters
     ==========
 
     random : Random
-        Source of choices and jitter.
+        Source of peer choices and jitter.
     state : RevisionState
         The rules in force.
     platform : WatchedPlatform
         The store.
     membership : Membership
-        Who is there.
+        Membership view of this node.
     pool : PeerPool
         Connections to other nodes.
     counters : Counters
-        What happened.
-    newest : callable
-        Returns the highest revision heard of on datagrams.
-    teller : callable
-        Returns who told of it last.
+        Event counters.
+    newest_revision : callable
+        Returns the newest revision order seen in gossip.
+    source_of_newest : callable
+        Returns the member that last announced it.
     on_duty : callable
-        Whether this node watches the store now.
+        Returns whether this node currently watches the store.
     """
 
     def __init__(
@@ -67,77 +67,77 @@
         membership: Membership,
         pool: PeerPool,
         counters: Counters,
-        newest: Callable[[], int] = lambda: 0,
-        teller: Callable[[], Member | None] = lambda: None,
+        newest_revision: Callable[[], int] = lambda: 0,
+        source_of_newest: Callable[[], Member | None] = lambda: None,
         on_duty: Callable[[], bool] = lambda: True,
     ) -> None:
         self._random = random
         self._state = state
         self._platform = platform
         self._membership = membership
-        self._peers = PeerChoice(random, membership)
+        self._peers = PeerSelector(random, membership)
         self._pool = pool
         self._counters = counters
-        self._newest = newest
-        self._teller = teller
-        self._watch = RowWatch(platform, _TABLE, _HEAD, _WATCH_WAIT, on_duty)
+        self._newest_revision = newest_revision
+        self._source_of_newest = source_of_newest
+        self._watch = RowWatch(platform, _TABLE, _HEAD, _WATCH_WAIT_S, on_duty)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Begin."""
+        """Start watching the store and polling peers."""
         self._tasks = [
-            asyncio.ensure_future(self._follow()),
-            asyncio.ensure_future(self._follow_peers()),
+            asyncio.ensure_future(self._run_store_watch()),
+            asyncio.ensure_future(self._run_peer_polling()),
         ]
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background tasks."""
         for task in self._tasks:
             task.cancel()
 
     @property
-    def behind(self) -> bool:
-        """Whether another node holds something newer."""
-        return self._newest() > self._state.order
-
-    async def look(self, store_version: int) -> int:
-        """Ask the store whether it holds something newer; take it if so."""
-        if store_version and self._watch.known >= store_version:
-            return self._watch.known
-        if await self._take(await self._watch.look()):
-            self._watch.overtaken()
-        return self._watch.known
-
-    async def _follow(self) -> None:
+    def outdated(self) -> bool:
+        """Whether another node holds a newer revision."""
+        return self._newest_revision() > self._state.order
+
+    async def refresh(self, store_version: int) -> int:
+        """Poll the store and apply newer rules."""
+        if store_version and self._watch.known_version >= store_version:
+            return self._watch.known_version
+        if await self._apply_rows(await self._watch.poll()):
+            self._watch.restart()
+        return self._watch.known_version
+
+    async def _run_store_watch(self) -> None:
         while True:
             try:
-                rows = await self._watch.next()
+                rows = await self._watch.next_change()
                 if rows is not None:
-                    await self._take(rows)
+                    await self._apply_rows(rows)
             except PlatformDownError:
                 self._counters.events["rules.store-unanswered"] += 1
-                await self._ask_peer()
-                await asyncio.sleep(_PAUSE * self._random.uniform(0.7, 1.3))
+                await self._fetch_from_peer()
+                await asyncio.sleep(_RETRY_INTERVAL_S * self._random.uniform(0.7, 1.3))
 
-    async def _follow_peers(self) -> None:
+    async def _run_peer_polling(self) -> None:
         while True:
-            # A fresh node takes no work before it knows the rules, and a silent
-            # store takes over a second to be known for it.
-            fresh = not self._state.ready
-            pause = _FRESH_PAUSE if fresh else _PAUSE
-            await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
-            if self.behind or not self._state.ready:
-                await self._ask_peer()
-
-    async def _take(self, rows: Rows) -> bool:
+            # A node refuses requests until it has rules, and a silent store is
+            # detected only after more than a second.
+            initial = not self._state.ready
+            interval = _INITIAL_POLL_INTERVAL_S if initial else _RETRY_INTERVAL_S
+            await asyncio.sleep(interval * self._random.uniform(0.7, 1.3))
+            if self.outdated or not self._state.ready:
+                await self._fetch_from_peer()
+
+    async def _apply_rows(self, rows: Rows) -> bool:
         head = rows.rows.get(_HEAD)
         if head is None:
             self._state.hear_from_store(None)
             return False
-        newest = self._read_record(head.value)
+        newest = self._decode_record(head.value)
         if newest is None:
-            # Written by somebody else: what is in force stays, and a node that
-            # starts serves by the routes instead of waiting for ever.
+            # Malformed row of another writer: the rules in force stay, and a node
+            # that starts serves without rules instead of waiting indefinitely.
             self._state.hear_from_store(None)
             return False
         if newest.order <= self._state.order:
@@ -147,28 +147,28 @@
         text: Row | None = rows.rows.get(key.partition("/")[2])
         if text is None:
             text = await self._platform.read(key)
-        record = self._read_record(text.value)
-        return record is not None and self._offer("store", record)
+        record = self._decode_record(text.value)
+        return record is not None and self._apply_record("store", record)
 
-    def _read_record(self, value: object) -> RulesRecord | None:
-        """Return the record of a row's value, or None if it holds none."""
+    def _decode_record(self, value: object) -> RulesRecord | None:
+        """Decode the value of a row; count it and return None if malformed."""
         try:
             fields = orjson.loads(value) if isinstance(value, bytes) else value
             return RulesRecord.from_row(fields)
         except ValueError as error:
-            self._note_malformed("store", error)
+            self._report_malformed("store", error)
             return None
 
-    def _note_malformed(self, source: str, error: ValueError) -> None:
+    def _report_malformed(self, source: str, error: ValueError) -> None:
         self._counters.events["rules.malformed"] += 1
         log_change("rules_malformed", source=source, error=str(error))
 
-    async def _ask_peer(self) -> None:
-        member = self._peers.next(self._teller())
+    async def _fetch_from_peer(self) -> None:
+        member = self._peers.select(self._source_of_newest())
         if member is None:
             return
         try:
-            async with asyncio.timeout(_ASK_TIMEOUT):
+            async with asyncio.timeout(_PEER_TIMEOUT_S):
                 centre, reply = await self._pool.ask_rules(
                     (member.host, member.peer_port), self._state.order
                 )
@@ -187,10 +187,10 @@
                 reply.text,
                 reply.era,
             )
-        if self._offer("peer", record, centre):
-            self._watch.overtaken()
+        if self._apply_record("peer", record, centre):
+            self._watch.restart()
 
-    def _offer(
+    def _apply_record(
         self, source: str, record: RulesRecord | None, data_centre: str = ""
     ) -> bool:
         try:
@@ -199,7 +199,7 @@
             else:
                 changed = self._state.hear_from_peer(data_centre, record)
         except ValueError as error:
-            self._note_malformed(source, error)
+            self._report_malformed(source, error)
             return False
         if changed:
             log_change("rules_in_force", revision=self._state.revision, source=source)
--- a/packages/rattanfork-node/rattanfork_node/config/tests/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of how a node learns its configuration and its rules."""
+"""Tests of the tasks that keep configuration and rules up to date."""
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store and peers that the test speaks for."""
+"""Fakes of the store, the peers and the gossip task."""
 
 import asyncio
 from collections import Counter, deque
@@ -16,18 +16,18 @@
 
 from rattanfork_node.peer import LinkLostError
 
-#: Fields of a record of no rules at all.
-_NONE = (0, "", "", "", "")
+#: Fields of a record without rules.
+_NO_RULES = (0, "", "", "", "")
 
 
 class FakePlatform(WatchedPlatform):
-    """Tables in memory; ``down`` and ``forgetful`` are its faults."""
+    """In-memory store; ``down`` and ``history_lost`` inject faults."""
 
     def __init__(self) -> None:
         self.tables: dict[str, dict[str, bytes]] = {}
         self.version = 0
         self.down = False
-        self.forgetful = False
+        self.history_lost = False
         self.calls: list[str] = []
         self._changed = asyncio.Event()
 
@@ -48,7 +48,7 @@
         return 0.0
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Write a row and wake who watches."""
+        """Write a row and complete pending watches."""
         self.version += 1
         self.tables.setdefault(table, {})[key] = value
         self._changed.set()
@@ -78,8 +78,8 @@
 
     async def watch(self, table: str, after: int, wait: float) -> Rows:
         self._call("watch")
-        if self.forgetful:
-            self.forgetful = False
+        if self.history_lost:
+            self.history_lost = False
             raise HistoryLostError("gone")
         if self.version <= after:
             self._changed.clear()
@@ -91,8 +91,8 @@
 
     async def changes(self, table: str, after: int) -> Rows:
         self._call("changes")
-        if self.forgetful:
-            self.forgetful = False
+        if self.history_lost:
+            self.history_lost = False
             raise HistoryLostError("gone")
         rows = self.tables.get(table, {}) if self.version > after else {}
         return Rows({k: Row(1, v) for k, v in rows.items()}, self.version)
@@ -100,8 +100,8 @@
     async def close(self) -> None:
         pass
 
-    def cut(self) -> None:
-        """End all watches and answer nothing more."""
+    def disconnect(self) -> None:
+        """Fail pending watches and all further calls."""
         self.down = True
         self._changed.set()
 
@@ -112,7 +112,7 @@
 
 
 class FakePeers:
-    """A pool with one peer that holds a configuration."""
+    """Connection pool in which every address leads to the same peer."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -121,13 +121,13 @@
         self.asked = 0
         self.data_centres = deque(("dc1", "dc2"))
         self.addresses: list[tuple[str, int]] = []
-        self.record = RulesRecord(*_NONE)
+        self.record = RulesRecord(*_NO_RULES)
 
     async def open(self, address):
         self.asked += 1
         self.addresses.append(address)
         if not self.reachable:
-            raise LinkLostError("nobody there")
+            raise LinkLostError("peer is unreachable")
         return self
 
     def next_number(self) -> int:
@@ -135,9 +135,11 @@
 
     async def ask_rules(self, address, known: int):
         self.asked += 1
-        record = self.record if self.record.revision > known else RulesRecord(*_NONE)
+        record = (
+            self.record if self.record.revision > known else RulesRecord(*_NO_RULES)
+        )
         reply = SimpleNamespace(ready=True, **record.as_row())
-        # Each answer comes from another data centre.
+        # Successive replies come from different data centres.
         self.data_centres.rotate()
         return self.data_centres[0], reply
 
@@ -146,8 +148,8 @@
         return SimpleNamespace(document=self.document if newer else b"")
 
 
-class FakeMemberTask:
-    """Hears what the test says, and tells nobody."""
+class FakeGossipTask:
+    """Gossip state set by the test; sends nothing."""
 
     def __init__(self) -> None:
         self.newest_configuration = 0
@@ -155,17 +157,17 @@
         self.configuration_source: Member | None = None
         self.rules_source: Member | None = None
 
-    def tell(self, names) -> None:
+    def push_held_versions(self, names) -> None:
         pass
 
 
 def member(name: str) -> Member:
-    """Return the record of another node."""
+    """Return the record of a node of this name."""
     return Member(name, "b", "s", "dc1", "127.0.0.1", 1, 2, 8)
 
 
-async def until(holds) -> None:
-    """Let other tasks run until a condition holds."""
+async def wait_until(condition) -> None:
+    """Let other tasks run until a condition is true."""
     async with asyncio.timeout(10):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.005)
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -1,4 +1,4 @@
-"""A node learns configurations from the store, and from peers without it."""
+"""Tests of fetching configurations from the store and from peers."""
 
 import asyncio
 from functools import wraps
@@ -13,17 +13,17 @@
 from rattanfork_node.config.confirmation_task import ConfirmationTask
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.tests.fakes import (
-    FakeMemberTask,
+    FakeGossipTask,
     FakePeers,
     FakePlatform,
     member,
-    until,
+    wait_until,
 )
 from rattanfork_node.telemetry import Counters
 
 
-class World:
-    """A configuration task with a store and a peer."""
+class Harness:
+    """Configuration and confirmation tasks with a fake store and peer."""
 
     make_platform = FakePlatform
 
@@ -34,7 +34,7 @@
         self.holder = ConfigurationHolder(lambda d: Configuration(int(d), (), {}))
         self.membership = Membership(MonotonicClock(), Random(1), member("me"))
         self.membership.merge([member("peer")])
-        self.heard = FakeMemberTask()
+        self.gossip_task = FakeGossipTask()
         self.on_duty = True
         self.task = ConfigurationTask(
             MonotonicClock(),
@@ -44,28 +44,28 @@
             "op",
             "config",
             self.membership,
-            self.heard,
+            self.gossip_task,
             self.peers,
             self.counters,
             lambda: self.on_duty,
         )
-        self.followers = [self.task]
+        self.replicas = [self.task]
         self.confirmation = ConfirmationTask(
             Random(1),
             ConfirmationSchedule(MonotonicClock(), Random(1)),
             DutyRoster(self.membership, "confirmation", 4),
-            self.heard,
-            self.followers,
+            self.gossip_task,
+            self.replicas,
             self.counters,
         )
 
     def start(self) -> None:
-        """Start all that the world has."""
+        """Start both tasks."""
         self.task.start()
         self.confirmation.start()
 
     def close(self) -> None:
-        """Stop all."""
+        """Stop both tasks."""
         self.task.close()
         self.confirmation.close()
 
@@ -73,15 +73,15 @@
         self.platform.put("op", "config", document)
 
 
-def with_world(test):
+def with_harness(test):
     @wraps(test)
     def run():
         async def inner():
-            world = World()
+            harness = Harness()
             try:
-                await test(world)
+                await test(harness)
             finally:
-                world.task.close()
+                harness.task.close()
 
         asyncio.run(inner())
 
@@ -89,136 +89,135 @@
     return run
 
 
-@with_world
-async def test_the_newest_is_read_at_the_start_and_changes_come_by_one_watch(world):
-    world.write(b"3")
-    world.task.start()
-    await until(lambda: world.holder.version == 3)
-    world.write(b"5")
-    await until(lambda: world.holder.version == 5)
-    assert world.platform.calls.count("scan") == 1
-    assert world.platform.calls.count("watch") <= 3
+@with_harness
+async def test_configuration_is_read_at_start_and_then_watched(harness):
+    harness.write(b"3")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 3)
+    harness.write(b"5")
+    await wait_until(lambda: harness.holder.version == 5)
+    assert harness.platform.calls.count("scan") == 1
+    assert harness.platform.calls.count("watch") <= 3
 
 
-@with_world
-async def test_a_lost_history_is_made_good_by_reading_anew(world):
-    """The store drops its history while a change is made.
+@with_harness
+async def test_truncated_history_leads_to_a_new_scan(harness):
+    """Guards against a missed change when the store has truncated its history.
 
-    The watch would never tell of the change; it is ended instead, and the
-    row is read again.
+    The watch fails instead of waiting, and the row is read again.
     """
-    world.write(b"1")
-    world.platform.forgetful = True
-    world.task.start()
-    await until(lambda: world.platform.calls.count("scan") == 2)
-    world.write(b"2")
-    await until(lambda: world.holder.version == 2)
+    harness.write(b"1")
+    harness.platform.history_lost = True
+    harness.task.start()
+    await wait_until(lambda: harness.platform.calls.count("scan") == 2)
+    harness.write(b"2")
+    await wait_until(lambda: harness.holder.version == 2)
 
 
-@with_world
-async def test_who_is_not_on_duty_reads_once_and_does_not_watch(world):
-    """Seventeen thousand nodes with a watch each are as many calls a change.
+@with_harness
+async def test_node_off_duty_reads_once_and_does_not_watch(harness):
+    """Guards against store load that grows with the fleet.
 
-    The store allows two thousand reads a second.  A node that others watch for
-    reads the row when it starts, and hears of a change from a peer.
+    With a watch on each of 17,000 nodes, every change would cause 17,000 calls; the
+    store allows 2,000 reads per second.  A node off duty gets changes from peers.
     """
-    world.on_duty = False
-    world.write(b"1")
-    world.task.start()
-    await until(lambda: world.holder.version == 1)
-    world.write(b"2")
-    world.peers.version, world.peers.document = 2, b"2"
-    world.heard.newest_configuration = 2
-    await until(lambda: world.holder.version == 2)
-    assert world.platform.calls == ["scan"]
-
-
-@with_world
-async def test_a_duty_that_comes_later_finds_what_was_missed(world):
-    """The nodes that watched are killed together, and a change falls between.
-
-    Nobody has told of it.  Who takes over watches from where it last looked, so
-    the first watch brings the change.
+    harness.on_duty = False
+    harness.write(b"1")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 1)
+    harness.write(b"2")
+    harness.peers.version, harness.peers.document = 2, b"2"
+    harness.gossip_task.newest_configuration = 2
+    await wait_until(lambda: harness.holder.version == 2)
+    assert harness.platform.calls == ["scan"]
+
+
+@with_harness
+async def test_node_that_becomes_on_duty_finds_missed_changes(harness):
+    """Guards against a change lost when all watching nodes fail together.
+
+    No node has announced it.  A successor watches from the version of its last
+    read, so its first watch returns the change.
     """
-    world.on_duty = False
-    world.write(b"1")
-    world.task.start()
-    await until(lambda: world.holder.version == 1)
-    world.write(b"2")
-    world.on_duty = True
-    await until(lambda: world.holder.version == 2)
+    harness.on_duty = False
+    harness.write(b"1")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 1)
+    harness.write(b"2")
+    harness.on_duty = True
+    await wait_until(lambda: harness.holder.version == 2)
 
 
-@with_world
-async def test_a_peer_tells_what_the_store_does_not(world):
-    """The store turns this node away while the operator makes a change.
+@with_harness
+async def test_change_is_fetched_from_a_peer_while_the_store_is_down(harness):
+    """The store rejects only this node's calls while the operator makes a change.
 
-    Its peers have the change; it hears of the version and asks one.
+    The node sees the newer version in gossip and asks a peer for the document.
     """
-    world.write(b"1")
-    world.task.start()
-    await until(lambda: world.holder.version == 1)
-    world.platform.cut()
-    world.peers.version, world.peers.document = 4, b"4"
-    world.heard.newest_configuration = 4
-    await until(lambda: world.holder.version == 4)
-    assert world.holder.document == b"4"
-
-
-@with_world
-async def test_a_fresh_node_asks_peers_while_the_store_is_away(world):
-    world.platform.down = True
-    world.peers.version, world.peers.document = 7, b"7"
-    world.task.start()
-    await until(lambda: world.holder.version == 7)
-
-
-@with_world
-async def test_an_older_configuration_of_a_peer_changes_nothing(world):
-    world.write(b"9")
-    world.task.start()
-    await until(lambda: world.holder.version == 9)
-    world.peers.version, world.peers.document = 8, b"8"
-    world.heard.newest_configuration = 10
-    await until(lambda: world.peers.asked >= 2)
-    assert world.holder.version == 9
-
-
-@with_world
-async def test_a_malformed_document_is_counted_and_the_last_one_holds(world):
-    world.write(b"1")
-    world.task.start()
-    await until(lambda: world.holder.version == 1)
-    world.write(b"nonsense")
-    await until(lambda: world.counters.events["configuration.malformed"] == 1)
-    assert world.holder.version == 1
-    world.write(b"2")
-    await until(lambda: world.holder.version == 2)
-
-
-@with_world
-async def test_who_told_of_a_change_is_asked_for_it_first(world):
-    """One of three hundred nodes holds a change, and has told this one.
-
-    The others have not heard yet; asked at random they would cost a fleet of that
-    size two and a half seconds until all hold it.
+    harness.write(b"1")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 1)
+    harness.platform.disconnect()
+    harness.peers.version, harness.peers.document = 4, b"4"
+    harness.gossip_task.newest_configuration = 4
+    await wait_until(lambda: harness.holder.version == 4)
+    assert harness.holder.document == b"4"
+
+
+@with_harness
+async def test_starting_node_asks_peers_while_the_store_is_down(harness):
+    harness.platform.down = True
+    harness.peers.version, harness.peers.document = 7, b"7"
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 7)
+
+
+@with_harness
+async def test_older_configuration_of_a_peer_is_ignored(harness):
+    harness.write(b"9")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 9)
+    harness.peers.version, harness.peers.document = 8, b"8"
+    harness.gossip_task.newest_configuration = 10
+    await wait_until(lambda: harness.peers.asked >= 2)
+    assert harness.holder.version == 9
+
+
+@with_harness
+async def test_malformed_document_is_counted_and_the_last_one_stays(harness):
+    harness.write(b"1")
+    harness.task.start()
+    await wait_until(lambda: harness.holder.version == 1)
+    harness.write(b"nonsense")
+    await wait_until(lambda: harness.counters.events["configuration.malformed"] == 1)
+    assert harness.holder.version == 1
+    harness.write(b"2")
+    await wait_until(lambda: harness.holder.version == 2)
+
+
+@with_harness
+async def test_peer_that_announced_a_change_is_asked_first(harness):
+    """Guards against slow dissemination by requests to random peers.
+
+    Of 300 nodes only the announcing one holds the change.  With random peers a
+    fleet of that size takes two and a half seconds until all hold it.
     """
-    world.membership.merge(
+    harness.membership.merge(
         member(f"n{n}")._replace(peer_port=100 + n) for n in range(300)
     )
-    world.task.start()
-    world.peers.version, world.peers.document = 4, b"4"
-    world.heard.configuration_source = member("n7")._replace(peer_port=107)
-    world.heard.newest_configuration = 4
-    await until(lambda: world.holder.version == 4)
-    assert world.peers.addresses == [("127.0.0.1", 107)]
-
-
-@with_world
-async def test_another_is_asked_when_who_told_does_not_answer(world):
-    world.task.start()
-    world.peers.reachable = False
-    world.heard.configuration_source = member("n7")._replace(peer_port=107)
-    world.heard.newest_configuration = 4
-    await until(lambda: len(world.peers.addresses) >= 3)
-    assert world.peers.addresses[:2] == [("127.0.0.1", 107), ("127.0.0.1", 1)]
+    harness.task.start()
+    harness.peers.version, harness.peers.document = 4, b"4"
+    harness.gossip_task.configuration_source = member("n7")._replace(peer_port=107)
+    harness.gossip_task.newest_configuration = 4
+    await wait_until(lambda: harness.holder.version == 4)
+    assert harness.peers.addresses == [("127.0.0.1", 107)]
+
+
+@with_harness
+async def test_another_peer_is_asked_when_the_announcing_one_fails(harness):
+    harness.task.start()
+    harness.peers.reachable = False
+    harness.gossip_task.configuration_source = member("n7")._replace(peer_port=107)
+    harness.gossip_task.newest_configuration = 4
+    await wait_until(lambda: len(harness.peers.addresses) >= 3)
+    assert harness.peers.addresses[:2] == [("127.0.0.1", 107), ("127.0.0.1", 1)]
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -1,4 +1,4 @@
-"""What a node believes of others' words about the store."""
+"""Tests of confirmations that nodes adopt from each other."""
 
 import asyncio
 from random import Random
@@ -10,137 +10,140 @@
 from rattanfork_platform import PlatformDownError
 
 from rattanfork_node.config.confirmation_task import ConfirmationTask
-from rattanfork_node.config.follower import Follower
-from rattanfork_node.config.tests.fakes import FakeMemberTask, member, until
+from rattanfork_node.config.store_replica import StoreReplica
+from rattanfork_node.config.tests.fakes import FakeGossipTask, member, wait_until
 from rattanfork_node.telemetry import Counters
 
 
-class Told(FakeMemberTask):
-    """Hears what the test says, and keeps whom it is to tell."""
+class RecordingGossipTask(FakeGossipTask):
+    """Records the members that are notified."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.told: list[str] = []
+        self.notified: list[str] = []
 
-    def tell(self, names) -> None:
-        self.told += names
+    def push_held_versions(self, names) -> None:
+        self.notified += names
 
 
-class Held(Follower):
-    """Something held, of which the test says whether it is behind."""
+class FakeReplica(StoreReplica):
+    """Replica whose state the test sets."""
 
     def __init__(self, version: int = 1) -> None:
-        self.is_behind = False
+        self.is_outdated = False
         self.version = version
-        self.looks: list[int] = []
+        self.polls: list[int] = []
         self.down = False
 
     @property
-    def behind(self) -> bool:
-        return self.is_behind
+    def outdated(self) -> bool:
+        return self.is_outdated
 
-    async def look(self, store_version: int) -> int:
-        self.looks.append(store_version)
+    async def refresh(self, store_version: int) -> int:
+        self.polls.append(store_version)
         if self.down:
             raise PlatformDownError("away")
         return self.version
 
 
-class World:
-    """A confirmation task on a clock of its own."""
+class Harness:
+    """Confirmation task with two replicas, by default on a manual clock."""
 
     def __init__(self, names: str = "abc", clock=None) -> None:
         self.clock = clock or ManualClock()
         self.membership = Membership(self.clock, Random(1), member("me"))
         self.membership.merge(member(name) for name in names)
-        self.heard = Told()
-        self.held = Held(version=9)
-        self.other = Held(version=9)
+        self.gossip_task = RecordingGossipTask()
+        self.replica = FakeReplica(version=9)
+        self.other_replica = FakeReplica(version=9)
         self.counters = Counters()
         self.task = ConfirmationTask(
             Random(1),
             ConfirmationSchedule(self.clock, Random(1)),
             DutyRoster(self.membership, "confirmation", 4),
-            self.heard,
-            (self.held, self.other),
+            self.gossip_task,
+            (self.replica, self.other_replica),
             self.counters,
         )
 
-    def hear(self, configuration: int, confirmed: int, rules: int = 0) -> None:
-        heard = self.heard
-        heard.newest_configuration = max(heard.newest_configuration, configuration)
-        heard.newest_rules = max(heard.newest_rules, rules)
+    def receive(self, configuration: int, confirmed: int, rules: int = 0) -> None:
+        gossip_task = self.gossip_task
+        gossip_task.newest_configuration = max(
+            gossip_task.newest_configuration, configuration
+        )
+        gossip_task.newest_rules = max(gossip_task.newest_rules, rules)
         self.task.on_held_versions(HeldVersions(configuration, rules, confirmed))
 
 
-def test_a_word_about_the_newest_makes_ones_own_younger():
-    world = World()
-    world.clock.advance(5.0)
-    world.hear(configuration=7, confirmed=200)
-    assert world.task.age == pytest.approx(0.2)
-    assert world.task.confirmation_age_ms() == 200
+def test_confirmation_of_the_newest_version_is_adopted():
+    harness = Harness()
+    harness.clock.advance(5.0)
+    harness.receive(configuration=7, confirmed=200)
+    assert harness.task.age == pytest.approx(0.2)
+    assert harness.task.confirmation_age_ms() == 200
 
 
-def test_a_fresh_node_has_no_word_to_pass_on():
-    """A node starts while the store is away, and gets what it holds from a peer.
+def test_starting_node_reports_no_confirmation():
+    """Guards against gossip of a confirmation that never took place.
 
-    Nobody knows whether that is the newest.  Told as if the store had said so at
-    the node's start, the others stop asking for a turn, and take it for confirmed.
+    A node that starts while the store is down gets its data from a peer.  Counting
+    its start as a confirmation would make other nodes skip their polls.
     """
-    world = World()
-    world.clock.advance(0.5)
-    assert world.task.confirmation_age_ms() == NEVER
-    world.hear(configuration=7, confirmed=200)
-    assert world.task.confirmation_age_ms() == 200
+    harness = Harness()
+    harness.clock.advance(0.5)
+    assert harness.task.confirmation_age_ms() == NEVER
+    harness.receive(configuration=7, confirmed=200)
+    assert harness.task.confirmation_age_ms() == 200
 
 
-def test_a_word_about_something_older_says_nothing():
-    """A node that was paused says that version 7 was the newest a moment ago.
+def test_confirmation_of_an_older_version_is_ignored():
+    """Guards against a stale confirmation from a node that was paused.
 
-    Another has told of version 8: the store held something newer by then.
+    It confirms version 7 with age zero, although the store already held version 8,
+    which another node has reported.
     """
-    world = World()
-    world.clock.advance(5.0)
-    world.hear(configuration=8, confirmed=NEVER)
-    world.hear(configuration=7, confirmed=0)
-    assert world.task.age == 5.0
-    world.hear(configuration=8, rules=2, confirmed=NEVER)
-    world.hear(configuration=8, rules=1, confirmed=0)
-    assert world.task.age == 5.0
-
-
-def test_who_is_behind_neither_believes_nor_spreads_a_word():
-    """Taken for its own, the word would stand beside the older version it holds."""
-    world = World()
-    world.clock.advance(5.0)
-    world.held.is_behind = True
-    world.hear(configuration=8, confirmed=100)
-    assert world.task.age == 5.0
-    assert world.task.confirmation_age_ms() == NEVER
-
-
-def play(world: World, holds) -> None:
+    harness = Harness()
+    harness.clock.advance(5.0)
+    harness.receive(configuration=8, confirmed=NEVER)
+    harness.receive(configuration=7, confirmed=0)
+    assert harness.task.age == 5.0
+    harness.receive(configuration=8, rules=2, confirmed=NEVER)
+    harness.receive(configuration=8, rules=1, confirmed=0)
+    assert harness.task.age == 5.0
+
+
+def test_outdated_node_neither_adopts_nor_reports_a_confirmation():
+    """Guards against confirming the outdated version that this node holds."""
+    harness = Harness()
+    harness.clock.advance(5.0)
+    harness.replica.is_outdated = True
+    harness.receive(configuration=8, confirmed=100)
+    assert harness.task.age == 5.0
+    assert harness.task.confirmation_age_ms() == NEVER
+
+
+def run_until(harness: Harness, condition) -> None:
     async def inner() -> None:
-        world.task.start()
+        harness.task.start()
         try:
-            await until(holds)
+            await wait_until(condition)
         finally:
-            world.task.close()
+            harness.task.close()
 
     asyncio.run(inner())
 
 
-def test_what_the_store_is_known_to_have_reached_is_handed_on():
-    """One question answers for all that the store has not changed since."""
-    world = World(clock=MonotonicClock())
-    play(world, lambda: world.heard.told)
-    assert (world.held.looks[0], world.other.looks[0]) == (0, 9)
-    assert len(set(world.heard.told)) == 3
+def test_store_version_is_passed_to_the_next_replica():
+    """One call confirms all replicas if the store has not changed since."""
+    harness = Harness(clock=MonotonicClock())
+    run_until(harness, lambda: harness.gossip_task.notified)
+    assert (harness.replica.polls[0], harness.other_replica.polls[0]) == (0, 9)
+    assert len(set(harness.gossip_task.notified)) == 3
 
 
-def test_a_store_that_does_not_answer_is_asked_again_and_nobody_is_told():
-    world = World(clock=MonotonicClock())
-    world.held.down = True
-    play(world, lambda: len(world.held.looks) >= 3)
-    assert world.heard.told == []
-    assert world.counters.events["confirmation.unanswered"] >= 2
+def test_unanswered_poll_is_retried_and_not_disseminated():
+    harness = Harness(clock=MonotonicClock())
+    harness.replica.down = True
+    run_until(harness, lambda: len(harness.replica.polls) >= 3)
+    assert harness.gossip_task.notified == []
+    assert harness.counters.events["confirmation.unanswered"] >= 2
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one node."""
+"""Tests of the holder of the configuration in force."""
 
 import pytest
 from hypothesis import given
@@ -15,18 +15,18 @@
 
 
 @given(st.lists(st.integers(1, 20), min_size=1))
-def test_versions_only_rise_in_whatever_order_they_come(versions):
+def test_version_never_decreases_for_any_order_of_arrival(versions):
     holder = ConfigurationHolder(decode)
-    seen = 0
+    newest = 0
     for version in versions:
         changed = holder.offer(str(version).encode())
-        assert changed == (version > seen)
-        seen = max(seen, version)
-        assert holder.version == seen
-    assert holder.document == str(seen).encode()
+        assert changed == (version > newest)
+        newest = max(newest, version)
+        assert holder.version == newest
+    assert holder.document == str(newest).encode()
 
 
-def test_a_document_that_is_none_changes_nothing():
+def test_malformed_document_leaves_the_configuration_unchanged():
     holder = ConfigurationHolder(decode)
     holder.offer(b"3")
     with pytest.raises(ValueError, match="invalid"):
@@ -34,20 +34,21 @@
     assert holder.version == 3
 
 
-def test_turns_go_on_over_a_version_that_leaves_the_shares_alone():
-    """A new version comes every few requests and changes another route.
+def test_weighted_turns_continue_when_the_shares_are_unchanged():
+    """Guards against the first share receiving all requests.
 
-    Were the turns begun anew each time, the first share would get all.
+    Versions that change other routes arrive every few requests; restarting the
+    rotation with each would always choose the first share.
     """
     holder = ConfigurationHolder(decode)
-    dealt = []
+    chosen = []
     for version in range(1, 41):
         holder.offer(b"%d:ab" % version)
-        dealt.append(holder.next_service(holder.current.routes[0]))
-    assert dealt.count("a") == dealt.count("b") == 20
+        chosen.append(holder.next_service(holder.current.routes[0]))
+    assert chosen.count("a") == chosen.count("b") == 20
 
 
-def test_other_shares_begin_anew():
+def test_changed_shares_restart_the_turns():
     holder = ConfigurationHolder(decode)
     holder.offer(b"1:ab")
     holder.next_service(holder.current.routes[0])
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
@@ -1,4 +1,4 @@
-"""Leases on the configuration that nodes renew from each other."""
+"""Tests of configuration leases that nodes renew from each other."""
 
 from random import Random
 
@@ -20,23 +20,23 @@
 from rattanfork_node.config.tests.fakes import member
 
 
-class FakeMemberTask:
-    """Keeps what is sent."""
+class FakeGossipTask:
+    """Records sent messages."""
 
     def __init__(self) -> None:
-        self.direct: dict = {}
+        self.direct_handlers: dict = {}
         self.sent: list = []
         self.newest_configuration = 0
 
     def send(self, message, address) -> None:
         self.sent.append((message, address))
 
-    def note_configuration(self, version: int) -> None:
+    def observe_configuration(self, version: int) -> None:
         self.newest_configuration = max(version, self.newest_configuration)
 
 
 class Node:
-    """A node whose lease is renewed; the test is its peers and the store."""
+    """Node that renews its lease; the test acts as its peers and the store."""
 
     def __init__(self, accounts: bool = True, version: int = 5) -> None:
         self.clock = ManualClock(100.0)
@@ -49,7 +49,7 @@
         self.peers = members[1:]
         membership = Membership(self.clock, Random(1), members[0])
         membership.merge(self.peers)
-        self.member_task = FakeMemberTask()
+        self.gossip_task = FakeGossipTask()
         self.lease = ConfigurationLease(self.clock)
         self.store_asked = 0
         self.renewed = 0
@@ -59,7 +59,7 @@
             holder,
             membership,
             DutyRoster(membership, "confirmation", 4),
-            self.member_task,
+            self.gossip_task,
             self._ask_store,
         )
         self.task.on_renewed = self._count_renewal
@@ -71,7 +71,7 @@
 
     @property
     def requests(self) -> list:
-        sent = self.member_task.sent
+        sent = self.gossip_task.sent
         return [each for each in sent if isinstance(each[0], LeaseRequest)]
 
     def _ask_store(self) -> None:
@@ -81,18 +81,18 @@
         self.renewed += 1
 
 
-def test_peer_that_reported_the_newest_proof_is_asked():
+def test_peer_with_the_newest_confirmation_is_asked():
     node = Node()
     node.lease.confirm(node.clock.now())
     node.clock.advance(1.0)
-    node.task.on_reported(node.peers[3], 300)
-    node.task.on_reported(node.peers[7], 50)
+    node.task.on_confirmation_age(node.peers[3], 300)
+    node.task.on_confirmation_age(node.peers[7], 50)
     node.run(0.1)
     [(_, address)] = node.requests
     assert address == node.peers[7].address
 
 
-def test_reply_renews_the_lease_from_the_time_of_the_request():
+def test_reply_renews_the_lease_as_of_the_request():
     node = Node()
     node.run(0.1)
     request, _ = node.requests[0]
@@ -102,17 +102,17 @@
     assert node.renewed == 1
 
 
-def test_reply_about_a_newer_configuration_renews_nothing():
-    """Guards against a proof for keys that this node does not know to be gone."""
+def test_reply_for_a_newer_configuration_does_not_renew():
+    """Guards against accepting API keys that the newer configuration revokes."""
     node = Node(version=5)
     node.run(0.1)
     request, _ = node.requests[0]
     node.task.on_reply(LeaseReply(request.number, 6, 0), ("127.0.0.1", 1))
     assert node.lease.age == float("inf")
-    assert node.member_task.newest_configuration == 6
+    assert node.gossip_task.newest_configuration == 6
 
 
-def test_peer_without_a_proof_renews_nothing():
+def test_reply_without_a_confirmation_does_not_renew():
     node = Node()
     node.run(0.1)
     request, _ = node.requests[0]
@@ -120,18 +120,18 @@
     assert node.lease.age == float("inf")
 
 
-def test_request_is_answered_with_the_age_of_the_own_proof():
+def test_request_is_answered_with_the_local_lease_age():
     node = Node()
     node.task.on_request(LeaseRequest(3), ("127.0.0.1", 9))
     node.lease.confirm(node.clock.now())
     node.clock.advance(0.25)
     node.task.on_request(LeaseRequest(4), ("127.0.0.1", 9))
-    replies = [message for message, _ in node.member_task.sent]
+    replies = [message for message, _ in node.gossip_task.sent]
     assert replies == [LeaseReply(3, 5, NEVER), LeaseReply(4, 5, 250)]
 
 
-def test_store_is_asked_only_if_peers_have_no_proof():
-    """Guards against calls to the store that grow with the fleet."""
+def test_store_is_polled_only_when_peers_do_not_renew():
+    """Guards against store load that grows with the fleet."""
     node = Node()
     for _ in range(20):
         node.lease.confirm(node.clock.now())
@@ -142,14 +142,14 @@
 
 
 @pytest.mark.parametrize("seconds", [1.0, 10.0])
-def test_nothing_is_asked_where_requests_carry_no_keys(seconds):
+def test_no_requests_without_client_accounts(seconds):
     node = Node(accounts=False)
     node.run(seconds)
-    assert node.member_task.sent == []
+    assert node.gossip_task.sent == []
     assert node.store_asked == 0
 
 
-def test_request_that_waits_for_a_proof_hastens_the_next_one():
+def test_waiting_request_triggers_an_early_renewal():
     node = Node()
     node.lease.confirm(node.clock.now())
     node.run(0.3)
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -1,4 +1,4 @@
-"""What readers write to a store that came back from an older copy."""
+"""Tests of the repair of a store restored from an older backup."""
 
 import asyncio
 from collections import Counter
@@ -19,8 +19,8 @@
 
 from rattanfork_node.config import restore_task
 from rattanfork_node.config.restore_task import RestoreTask
-from rattanfork_node.config.tests.fakes import FakePlatform, member, until
-from rattanfork_node.member.records import lost_records
+from rattanfork_node.config.tests.fakes import FakePlatform, member, wait_until
+from rattanfork_node.member.records import missing_records
 from rattanfork_node.relay.tests.fakes import on_loop
 from rattanfork_node.telemetry import Counters
 
@@ -28,17 +28,17 @@
 
 
 class RestoredPlatform(FakePlatform):
-    """A store with versions of rows and conditions, that can be restored."""
+    """Store with row versions, conditional writes and a changing era."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.present_era = 1
+        self.current_era = 1
         self.rows: dict[str, tuple[int, object]] = {}
         self.before_write: Callable[[], None] = lambda: None
 
     @property
     def era(self) -> int:
-        return self.present_era
+        return self.current_era
 
     async def read(self, key: str) -> Row:
         self._call("read")
@@ -67,8 +67,8 @@
         self.rows[key] = (self.version, value)
 
 
-class World:
-    """A node that reads the store in turn, and others that it sees."""
+class Harness:
+    """One reader of the store, with a view of other members."""
 
     def __init__(
         self,
@@ -84,9 +84,9 @@
         self.membership = Membership(ManualClock(), Random(1), me)
         self.membership.merge(m for m in members if m is not me)
         self.rules = RevisionState()
-        self.kept = 0
-        #: Calls to the store that were made before the quarantine was kept.
-        self.calls_before_kept: list[str] = []
+        self.quarantine_writes = 0
+        #: Calls to the store before the first write of the quarantine.
+        self.calls_before_quarantine: list[str] = []
         self.counters = Counters()
         self.task = RestoreTask(
             Random(1),
@@ -94,162 +94,167 @@
             DutyRoster(self.membership, "confirmation", readers),
             self.membership,
             self.rules,
-            self.keep,
+            self.persist_quarantine,
             self.counters,
         )
 
-    async def keep(self) -> None:
-        if not self.kept:
-            self.calls_before_kept = list(self.platform.calls)
+    async def persist_quarantine(self) -> None:
+        if not self.quarantine_writes:
+            self.calls_before_quarantine = list(self.platform.calls)
         if self.platform.down:
-            self.platform._call("keep")
-        self.kept += 1
+            self.platform._call("persist_quarantine")
+        self.quarantine_writes += 1
 
     async def restore(self) -> None:
-        """Let the node know the store, and then restore it."""
+        """Start the task, then begin a new era of the store."""
         self.task.start()
         await asyncio.sleep(0.05)
-        self.platform.present_era += 1
+        self.platform.current_era += 1
 
 
-def fast(test):
-    """Run a test on a loop with short waits."""
+def with_short_delays(test):
+    """Run a test on an event loop with short delays."""
 
     def run(monkeypatch):
-        monkeypatch.setattr(restore_task, "_LOOK", 0.01)
-        monkeypatch.setattr(restore_task, "_TURN", 0.01)
-        monkeypatch.setattr(restore_task, "_FIRST_PAUSE", 0.01)
+        monkeypatch.setattr(restore_task, "_ERA_CHECK_INTERVAL_S", 0.01)
+        monkeypatch.setattr(restore_task, "_WRITER_STAGGER_S", 0.01)
+        monkeypatch.setattr(restore_task, "_MIN_RETRY_DELAY_S", 0.01)
         on_loop(test)()
 
     return run
 
 
-def test_members_without_a_record_or_with_an_older_one_are_lost():
+def test_absent_outdated_and_malformed_records_are_missing():
     stored, older, newer, absent = (member(n) for n in ("a", "b", "c", "d"))
     dead = member("e").replace(status=MemberStatus.DEAD)
     rows = {
         "a": Row(1, orjson.dumps(list(stored))),
         "b": Row(2, orjson.dumps(list(older.replace(boot="a")))),
         "c": Row(3, orjson.dumps(list(newer.replace(boot="z")))),
-        "f": Row(4, b"none of ours"),
+        "f": Row(4, b"not a record"),
     }
     present = [stored, older, newer, absent, dead, member("f")]
-    assert [m.instance for m in lost_records(rows, present)] == ["b", "d", "f"]
+    assert [m.instance for m in missing_records(rows, present)] == ["b", "d", "f"]
 
 
-@fast
-async def test_nothing_is_written_without_a_restore():
-    world = World()
-    world.task.start()
+@with_short_delays
+async def test_unchanged_era_causes_no_calls():
+    harness = Harness()
+    harness.task.start()
     await asyncio.sleep(0.1)
-    assert world.platform.calls == []
+    assert harness.platform.calls == []
 
 
-@fast
-async def test_quarantine_is_written_before_anything_else():
-    """Guards against nodes that all end before the quarantine is in the store."""
-    world = World(others=5)
-    await world.restore()
-    await until(lambda: world.platform.rows)
-    assert world.kept == 1
-    assert world.calls_before_kept == []
+@with_short_delays
+async def test_quarantine_is_written_first():
+    """Guards against losing the quarantine if all nodes terminate meanwhile."""
+    harness = Harness(others=5)
+    await harness.restore()
+    await wait_until(lambda: harness.platform.rows)
+    assert harness.quarantine_writes == 1
+    assert harness.calls_before_quarantine == []
 
 
-@fast
-async def test_lost_records_are_written_by_few_readers_for_all():
-    """Guards against hundreds of nodes that write at the same moment."""
-    world = World(others=200)
-    await world.restore()
-    await until(lambda: len(world.platform.rows) == 201)
-    assert world.platform.calls.count("transact") == 5
+@with_short_delays
+async def test_early_reader_writes_all_missing_records():
+    """Guards against hundreds of nodes writing at the same moment."""
+    harness = Harness(others=200)
+    await harness.restore()
+    await wait_until(lambda: len(harness.platform.rows) == 201)
+    assert harness.platform.calls.count("transact") == 5
 
 
-@fast
-async def test_restore_at_300_nodes_costs_few_calls():
-    """Guards against a cost at the store that grows with the fleet."""
+@with_short_delays
+async def test_restore_with_300_nodes_takes_few_calls():
+    """Guards against store load that grows with the fleet."""
     platform = RestoredPlatform()
-    worlds = [
-        World(others=299, turn=n, readers=20, platform=platform) for n in range(20)
+    harnesses = [
+        Harness(others=299, turn=n, readers=20, platform=platform) for n in range(20)
     ]
-    for world in worlds:
-        world.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
-        world.task.start()
+    for harness in harnesses:
+        harness.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+        harness.task.start()
     await asyncio.sleep(0.05)
-    platform.present_era += 1
-    await until(lambda: sum(world.kept for world in worlds) == 3)
+    platform.current_era += 1
+    await wait_until(
+        lambda: sum(harness.quarantine_writes for harness in harnesses) == 3
+    )
     assert len(platform.rows) == 302
-    # Of each writer a scan and a read, and of the first what was lost.
+    # One scan and one read by each writer; the first writes what is missing.
     assert Counter(platform.calls) == {"scan": 3, "read": 3, "transact": 6 + 1}
 
 
-@fast
-async def test_who_is_no_early_reader_writes_nothing():
-    world = World(others=200, turn=3)
-    await world.restore()
+@with_short_delays
+async def test_later_reader_makes_no_calls():
+    harness = Harness(others=200, turn=3)
+    await harness.restore()
     await asyncio.sleep(0.2)
-    assert world.platform.calls == []
+    assert harness.platform.calls == []
 
 
-@fast
-async def test_record_that_its_node_writes_meanwhile_is_not_overwritten():
-    """Guards against a record of a process that has been replaced."""
-    world = World(others=1)
-    me = world.membership.me
-    [other] = [m for m in world.membership.present() if m is not me]
+@with_short_delays
+async def test_concurrently_written_record_is_not_overwritten():
+    """Guards against restoring the record of a replaced process."""
+    harness = Harness(others=1)
+    me = harness.membership.me
+    [other] = [m for m in harness.membership.present() if m is not me]
     newer = list(other.replace(boot="zz"))
 
     def write_newer() -> None:
-        world.platform.before_write = lambda: None
-        world.platform.write(f"members/{other.instance}", newer)
-
-    world.platform.before_write = write_newer
-    await world.restore()
-    await until(lambda: f"members/{me.instance}" in world.platform.rows)
-    assert world.platform.rows[f"members/{other.instance}"][1] == newer
-
-
-@fast
-async def test_store_that_is_away_is_asked_until_all_is_written():
-    world = World()
-    world.platform.down = True
-    await world.restore()
-    await until(lambda: len(world.platform.calls) > 2)
-    world.platform.down = False
-    await until(lambda: len(world.platform.rows) == 4)
-    await until(lambda: world.kept == 1)
-
-
-@fast
-async def test_second_restore_during_the_first_is_written_as_well():
-    world = World()
-    world.platform.down = True
-    await world.restore()
-    await until(lambda: len(world.platform.calls) > 2)
-    world.platform.present_era += 1
-    world.platform.down = False
-    await until(lambda: len(world.platform.rows) == 4)
-    assert world.kept == 1
-    assert world.counters.events["store.restored"] == 2
-
-
-@fast
-async def test_rules_in_force_are_written_where_the_copy_has_older_ones():
-    world = World()
-    world.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
-    world.platform.write(HEAD_KEY, RulesRecord(1, "op1", "ann", "", "", 1).as_row())
-    await world.restore()
-    await until(lambda: "rules/history/00000002" in world.platform.rows)
-    head = RulesRecord.from_row(world.platform.rows[HEAD_KEY][1])
+        harness.platform.before_write = lambda: None
+        harness.platform.write(f"members/{other.instance}", newer)
+
+    harness.platform.before_write = write_newer
+    await harness.restore()
+    await wait_until(lambda: f"members/{me.instance}" in harness.platform.rows)
+    assert harness.platform.rows[f"members/{other.instance}"][1] == newer
+
+
+@with_short_delays
+async def test_repair_is_retried_until_the_store_answers():
+    harness = Harness()
+    harness.platform.down = True
+    await harness.restore()
+    await wait_until(lambda: len(harness.platform.calls) > 2)
+    harness.platform.down = False
+    await wait_until(lambda: len(harness.platform.rows) == 4)
+    await wait_until(lambda: harness.quarantine_writes == 1)
+
+
+@with_short_delays
+async def test_second_restore_during_a_repair_is_repaired():
+    harness = Harness()
+    harness.platform.down = True
+    await harness.restore()
+    await wait_until(lambda: len(harness.platform.calls) > 2)
+    harness.platform.current_era += 1
+    harness.platform.down = False
+    await wait_until(lambda: len(harness.platform.rows) == 4)
+    assert harness.quarantine_writes == 1
+    assert harness.counters.events["store.restored"] == 2
+
+
+@with_short_delays
+async def test_rules_in_force_replace_older_stored_rules():
+    harness = Harness()
+    harness.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+    harness.platform.write(HEAD_KEY, RulesRecord(1, "op1", "ann", "", "", 1).as_row())
+    await harness.restore()
+    await wait_until(lambda: "rules/history/00000002" in harness.platform.rows)
+    head = RulesRecord.from_row(harness.platform.rows[HEAD_KEY][1])
     assert (head.revision, head.operation, head.text) == (2, "op2", "")
 
 
-@fast
-async def test_rules_accepted_after_the_restore_are_not_overwritten():
-    """Guards against losing an accepted change whose number was used before."""
-    world = World()
-    world.rules.hear_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
+@with_short_delays
+async def test_rules_accepted_after_the_restore_are_kept():
+    """Guards against losing an accepted change.
+
+    Its revision is lower than the one in force, but its era is newer.
+    """
+    harness = Harness()
+    harness.rules.hear_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
     accepted = RulesRecord(5, "op5", "ann", "", "", era=2).as_row()
-    world.platform.write(HEAD_KEY, accepted)
-    await world.restore()
-    await until(lambda: world.kept == 1)
-    assert world.platform.rows[HEAD_KEY][1] == accepted
+    harness.platform.write(HEAD_KEY, accepted)
+    await harness.restore()
+    await wait_until(lambda: harness.quarantine_writes == 1)
+    assert harness.platform.rows[HEAD_KEY][1] == accepted
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
@@ -1,4 +1,4 @@
-"""Every pair of faults of the store, at the calls of a node that starts."""
+"""Start of a node under every pair of consecutive store faults."""
 
 import asyncio
 from itertools import product
@@ -16,24 +16,23 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.rules_watcher import RulesWatcher
 from rattanfork_node.config.tests.fakes import (
-    FakeMemberTask,
+    FakeGossipTask,
     FakePeers,
     FakePlatform,
     member,
-    until,
+    wait_until,
 )
 from rattanfork_node.member.join import JoinTask
 from rattanfork_node.telemetry import Counters
 
-#: A call that was turned away; one that was done and whose answer was lost; one
-#: that is done later; one after which the history is gone; one that brings a
-#: malformed value; and none.
+#: The call is rejected; it is executed but its reply is lost; it is executed after a
+#: delay; the change history is truncated; the value is malformed; no fault.
 FAULTS = ("away", "answer lost", "done late", "history gone", "malformed", "none")
-_LATE = 0.02
+_LATE_WRITE_DELAY_S = 0.02
 
 
 class FaultyPlatform(FakePlatform):
-    """A store whose first calls meet the faults of a plan."""
+    """Store whose first calls fail according to a plan."""
 
     def __init__(self, plan: tuple[str, ...]) -> None:
         super().__init__()
@@ -41,12 +40,12 @@
 
     async def transact(self, checks, writes) -> bool:
         self.calls.append("transact")
-        fault = self._next()
+        fault = self._next_fault()
         if fault == "away":
             raise PlatformDownError("away")
         loop = asyncio.get_running_loop()
         if fault == "done late":
-            loop.call_later(_LATE, self._write, writes)
+            loop.call_later(_LATE_WRITE_DELAY_S, self._write, writes)
             raise PlatformDownError("no answer")
         self._write(writes)
         if fault == "answer lost":
@@ -54,56 +53,56 @@
         return True
 
     async def scan(self, table: str, key: str = "") -> Rows:
-        return self._spoil(await super().scan(table, key))
+        return self._inject(await super().scan(table, key))
 
     async def watch(self, table: str, after: int, wait: float) -> Rows:
-        return self._spoil(await super().watch(table, after, wait))
+        return self._inject(await super().watch(table, after, wait))
 
     def _write(self, writes: dict) -> None:
         for key, value in writes.items():
             table, _, name = key.partition("/")
             self.put(table, name, orjson.dumps(value))
 
-    def _next(self) -> str:
+    def _next_fault(self) -> str:
         return self.plan.pop(0) if self.plan else "none"
 
-    def _spoil(self, rows: Rows) -> Rows:
-        fault = self._next()
+    def _inject(self, rows: Rows) -> Rows:
+        fault = self._next_fault()
         if fault == "history gone" and self.calls[-1] == "watch":
             raise HistoryLostError("gone")
         if fault in ("away", "answer lost", "done late"):
             raise PlatformDownError(fault)
         if fault == "malformed":
-            spoilt = {key: Row(row.version, b"?") for key, row in rows.rows.items()}
-            return Rows(spoilt, rows.version)
+            corrupt = {key: Row(row.version, b"?") for key, row in rows.rows.items()}
+            return Rows(corrupt, rows.version)
         return rows
 
 
-def peers_without_answer() -> FakePeers:
+def unreachable_peers() -> FakePeers:
     peers = FakePeers()
     peers.reachable = False
     return peers
 
 
-async def join(plan: tuple[str, ...]) -> None:
-    """Start a node; check that it finds another and leaves one record."""
+async def check_join(plan: tuple[str, ...]) -> None:
+    """Start a node; check that it finds the other and writes one record."""
     platform = FaultyPlatform(plan)
     platform.put("members", "n2", orjson.dumps(list(member("n2"))))
     membership = Membership(MonotonicClock(), Random(1), member("n1"))
     others = SimpleNamespace(add_seeds=lambda seeds: None, introduce=lambda: None)
     task = JoinTask(Random(1), platform, membership, others)
     task.start()
-    await until(lambda: task.joined)
-    await asyncio.sleep(2 * _LATE)
+    await wait_until(lambda: task.joined)
+    await asyncio.sleep(2 * _LATE_WRITE_DELAY_S)
     assert set(platform.tables["members"]) == {"n1", "n2"}
-    assert platform.calls.count("transact") <= 3, "the store is hammered"
-    spoilt = "malformed" in plan
-    assert spoilt or {m.instance for m in membership.present()} == {"n1", "n2"}
+    assert platform.calls.count("transact") <= 3, "too many calls to the store"
+    corrupt = "malformed" in plan
+    assert corrupt or {m.instance for m in membership.present()} == {"n1", "n2"}
     task.close()
 
 
-async def configure(plan: tuple[str, ...]) -> None:
-    """Follow two configurations; check that versions only rise, to the newest."""
+async def check_configuration(plan: tuple[str, ...]) -> None:
+    """Write configurations; check that versions increase up to the newest."""
     platform = FaultyPlatform(plan)
     seen: list[int] = []
     holder = ConfigurationHolder(lambda d: Configuration(int(d), (), {}))
@@ -116,71 +115,70 @@
         "op",
         "config",
         Membership(MonotonicClock(), Random(1), member("n1")),
-        FakeMemberTask(),
-        peers_without_answer(),
+        FakeGossipTask(),
+        unreachable_peers(),
         Counters(),
     )
     platform.put("op", "config", b"3")
     task.start()
-    await asyncio.sleep(_LATE)
+    await asyncio.sleep(_LATE_WRITE_DELAY_S)
     platform.put("op", "config", b"7")
-    # What follows a malformed answer is the next change.
+    # After a malformed value the next change has to be applied.
     await asyncio.sleep(1.0)
     platform.put("op", "config", b"8")
-    await until(lambda: holder.version == 8)
+    await wait_until(lambda: holder.version == 8)
     assert seen == sorted(seen)
-    assert len(platform.calls) <= 12, "the store is hammered"
+    assert len(platform.calls) <= 12, "too many calls to the store"
     task.close()
 
 
-async def follow_rules(plan: tuple[str, ...]) -> None:
-    """Start without rules; check that the node takes work once it knows so."""
+async def check_rules(plan: tuple[str, ...]) -> None:
+    """Start with an empty rules table; check that the node becomes ready."""
     platform = FaultyPlatform(plan)
     state = RevisionState()
     membership = Membership(MonotonicClock(), Random(1), member("n1"))
     task = RulesWatcher(
-        Random(1), state, platform, membership, peers_without_answer(), Counters()
+        Random(1), state, platform, membership, unreachable_peers(), Counters()
     )
     task.start()
-    await until(lambda: state.ready)
+    await wait_until(lambda: state.ready)
     assert state.revision == 0
-    assert len(platform.calls) <= 4, "the store is hammered"
+    assert len(platform.calls) <= 4, "too many calls to the store"
     task.close()
 
 
-def play_all(cell) -> None:
-    """Play all pairs of faults side by side; most of their time is waiting."""
+def run_fault_pairs(scenario) -> None:
+    """Run all pairs of faults concurrently, as each spends its time waiting."""
 
-    async def play(plan: tuple[str, ...]) -> str:
+    async def run_plan(plan: tuple[str, ...]) -> str:
         try:
-            await cell(plan)
+            await scenario(plan)
         except (AssertionError, TimeoutError) as error:
             return f"{', '.join(plan)}: {error!r}"
         return ""
 
     async def run() -> list[str]:
-        return await asyncio.gather(*map(play, product(FAULTS, repeat=2)))
+        return await asyncio.gather(*map(run_plan, product(FAULTS, repeat=2)))
 
     assert [failure for failure in asyncio.run(run()) if failure] == []
 
 
-def test_a_node_joins_after_any_two_faults_of_the_store():
-    """Two calls of a node that starts fail, one after the other.
+def test_node_joins_after_any_two_store_faults():
+    """Guards against duplicate or missing records after retried writes.
 
-    A write whose answer was lost, or that is done later, is made again: it
-    names the node, so a second one changes nothing.  The node finds the other
-    and leaves one record.
+    A write whose reply is lost or that executes late is retried.  It is idempotent,
+    as the row key is the instance name.
     """
-    play_all(join)
+    run_fault_pairs(check_join)
 
 
-def test_the_newest_configuration_is_in_force_after_any_two_faults():
-    """Two calls fail while a configuration is read and another one written.
+def test_newest_configuration_is_applied_after_any_two_store_faults():
+    """Two calls fail while one configuration is read and another is written.
 
-    Versions never fall; the newest is in force as soon as the store tells.
+    Versions never decrease, and the newest is applied once the store returns it.
     """
-    play_all(configure)
+    run_fault_pairs(check_configuration)
 
 
-def test_a_node_takes_work_after_any_two_faults_of_the_rules():
-    play_all(follow_rules)
+def test_node_becomes_ready_after_any_two_store_faults_on_the_rules():
+    run_fault_pairs(check_rules)
--- a/packages/rattanfork-node/rattanfork_node/member/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/member/__init__.py
@@ -1,4 +1,4 @@
-"""The member task: datagrams, joining and comparing views."""
+"""Membership of a node: gossip, joining, and the data that travels with gossip."""
 
 from rattanfork_node.member.gossip_task import GossipTask
 
--- a/packages/rattanfork-node/rattanfork_node/member/directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/directory.py
@@ -1,4 +1,4 @@
-"""Which members serve which service."""
+"""Index of the live instances of each service, for request routing."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 
 
 class InstanceDirectory:
-    """The members by service, kept up to date with the membership view.
+    """Instances by service, rebuilt when the membership view changes.
 
     Parameters
     ==========
@@ -16,11 +16,11 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of the pickers' draws.
+        Source of the random choices of pickers.
     membership : Membership
-        The view.
+        Membership view of this node.
     local_load : float
-        Load up to which instances of the own data centre go first.
+        Load up to which instances of the local data centre are preferred.
     """
 
     def __init__(
@@ -34,18 +34,18 @@
         self._random = random
         self._membership = membership
         self._local_load = local_load
-        self._version = -1
+        self._membership_version = -1
         self._pickers: dict[str, InstancePicker] = {}
-        self._first_seen: dict[tuple[str, int], float] = {}
+        self._known_since: dict[tuple[str, int], float] = {}
 
     def picker(self, service: str) -> InstancePicker | None:
-        """Return the picker of a service, or None if nobody serves it."""
-        if self._version != self._membership.version:
-            self._rebuild()
+        """Return the picker of a service, or None if it has no instances."""
+        if self._membership_version != self._membership.version:
+            self._rebuild_pickers()
         return self._pickers.get(service)
 
     def instance_count(self, service: str) -> int:
-        """Return how many instances a service has."""
+        """Return the number of instances of a service."""
         picker = self.picker(service)
         return 0 if picker is None else len(picker.states)
 
@@ -55,33 +55,36 @@
 
     def services(self) -> list[str]:
         """Return the services that have instances."""
-        if self._version != self._membership.version:
-            self._rebuild()
+        if self._membership_version != self._membership.version:
+            self._rebuild_pickers()
         return sorted(self._pickers)
 
-    def _rebuild(self) -> None:
-        fresh = self._version < 0
-        self._version = self._membership.version
+    def _rebuild_pickers(self) -> None:
+        first_build = self._membership_version < 0
+        self._membership_version = self._membership.version
         now = self._clock.now()
         by_service: dict[str, list[InstanceState]] = {}
-        seen: dict[tuple[str, int], float] = {}
+        known_since: dict[tuple[str, int], float] = {}
         for member in self._membership.present():
             if not member.ready or member.slots < 1:
                 continue
-            # To a node that has just started all are new, and none is cold.
+            # A node that has just started sees every instance for the first time;
+            # it dates them back so that none is treated as cold.
             incarnation = member.name, member.succession
-            first = self._first_seen.get(incarnation, now - 3600 if fresh else now)
-            seen[incarnation] = first
+            since = self._known_since.get(
+                incarnation, now - 3600 if first_build else now
+            )
+            known_since[incarnation] = since
             state = InstanceState(
                 member.name,
                 member.data_centre,
                 member.slots,
-                first,
+                since,
                 leaving=member.status == MemberStatus.LEAVING,
                 suspect=member.status == MemberStatus.SUSPECT,
             )
             by_service.setdefault(member.service, []).append(state)
-        self._first_seen = seen
+        self._known_since = known_since
         for service in list(self._pickers):
             if service not in by_service:
                 del self._pickers[service]
--- a/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
@@ -1,4 +1,4 @@
-"""Tells the fleet how this node's gate fares, and passes on what others tell."""
+"""Gossip of admission thresholds and impaired upstreams."""
 
 from rattanfork_core.hints import MOST_REPORTERS, GateReports
 from rattanfork_core.membership import GateNews, Member, Membership, duty_group
@@ -7,69 +7,73 @@
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.telemetry import log_change
 
-#: Members that are told at each tick: one alone would leave a fleet of hundreds
-#: without news for most of a second.
-_TOLD = 2
+#: Members addressed at each tick.  With one, reports took most of a second to reach
+#: a fleet of hundreds.
+_FANOUT = 2
 
 
 class GateReportTask:
-    """Carries the reports of gates over datagrams.
+    """Reports the state of the local gate and forwards reports of other gates.
+
+    A gate is the admission controller of one upstream instance.
 
     Parameters
     ==========
 
     reports : GateReports
-        What is known.
+        Reports known to this node.
     membership : Membership
-        Who is there.
-    member_task : GossipTask
-        Sends datagrams, and hears them.
+        Membership view of this node.
+    gossip_task : GossipTask
+        Sends and receives gossip messages.
     gate : Gate
-        This node's gate.
+        Gate of the local upstream.
     """
 
     def __init__(
         self,
         reports: GateReports,
         membership: Membership,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         gate: Gate,
     ) -> None:
         self._reports = reports
         self._membership = membership
-        self._member_task = member_task
+        self._gossip_task = gossip_task
         self._gate = gate
-        self._view = -1
-        self._tells_threshold = False
+        self._membership_version = -1
+        self._reports_threshold = False
         self._impaired = False
-        member_task.on_reports = reports.hear
+        gossip_task.on_gate_reports = reports.hear
 
     def tick(self) -> None:
-        """Report on the own gate and pass news on; call ten times a second."""
-        if self._membership.version != self._view:
-            self._regroup()
+        """Report the local gate and send due reports; call ten times a second."""
+        if self._membership.version != self._membership_version:
+            self._update_reporters()
         if self._gate.accepting:
-            self._report()
-        told = self._reports.news()
-        if told:
-            self._member_task.pass_on(GateNews(told), _TOLD)
+            self._report_own_gate()
+        reports = self._reports.news()
+        if reports:
+            self._gossip_task.send_to_random(GateNews(reports), _FANOUT)
 
-    def _report(self) -> None:
+    def _report_own_gate(self) -> None:
         gate = self._gate
         impaired = gate.health.impaired
         if impaired != self._impaired:
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
-        cut = gate.own_cut if self._tells_threshold else None
+        cut = gate.own_cut if self._reports_threshold else None
         self._reports.report(self._membership.me.service, cut, impaired)
 
-    def _regroup(self) -> None:
-        self._view = self._membership.version
+    def _update_reporters(self) -> None:
+        self._membership_version = self._membership.version
         me = self._membership.me
-        names = [m.name for m in self._membership.present() if _serves(m, me.service)]
+        names = [
+            m.name for m in self._membership.present() if _is_instance_of(m, me.service)
+        ]
         reporters = duty_group(names, "thresholds", MOST_REPORTERS)
-        self._tells_threshold = me.name in reporters
+        self._reports_threshold = me.name in reporters
 
 
-def _serves(member: Member, service: str) -> bool:
+def _is_instance_of(member: Member, service: str) -> bool:
     return member.service == service and member.ready and member.slots > 0
--- a/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -1,4 +1,4 @@
-"""Carries the membership protocol over UDP and the peers' streams."""
+"""Transport of the gossip protocol: UDP messages and anti-entropy over streams."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,12 +23,12 @@
 from rattanfork_node.peer import LinkLostError, PeerPool, SyncRequest
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Records of one answer; the next comparison brings the rest.
-MOST_RECORDS = 1000
+#: Most records of one anti-entropy reply; the next round transfers the rest.
+MAX_SYNC_RECORDS = 1000
 
 
 class GossipTask(asyncio.DatagramProtocol):
-    """Carries the membership protocol.
+    """Exchanges gossip messages and synchronizes membership views.
 
     Parameters
     ==========
@@ -36,20 +36,20 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of choices and jitter.
+        Source of peer choices and jitter.
     membership : Membership
-        The decisions.
+        Membership state machine, which performs no I/O.
     pool : PeerPool
         Connections to other nodes.
     key : bytes
-        The secret all nodes share.
+        Secret shared by all nodes, which authenticates messages.
     seeds : list of pairs
         Addresses of peer ports through which to join.
     counters : Counters
-        What happened.
+        Event counters.
     """
 
-    TICK = 0.1
+    TICK_S = 0.1
 
     def __init__(
         self,
@@ -71,41 +71,43 @@
         self._schedule = SyncSchedule(clock, random, seeds)
         self._background: set[asyncio.Task] = set()
         self._sent_bytes = 0
-        #: The newest that any datagram told of.
+        #: Newest versions that any gossip message has reported.
         self.newest_configuration = 0
         self.newest_rules = 0
-        #: Who told of them last; None while nobody has.
+        #: Members that reported them last.
         self.configuration_source: Member | None = None
         self.rules_source: Member | None = None
-        #: Told what the sender of each datagram holds.
+        #: Called with the versions held by the sender of each message.
         self.on_held_versions: Callable[[HeldVersions], None] = _ignore
-        #: Told who sent it, and how many milliseconds ago it was confirmed there.
-        self.on_confirmed: Callable[[Member, int], None] = _ignore_two
-        #: Take requests and replies of other nodes, by their type.
-        self.direct: dict[type, Callable[[DirectMessage, tuple[str, int]], None]] = {}
-        #: Told of reports of gates that others pass on.
-        self.on_reports: Callable[[ServiceReports], None] = _ignore
-        #: Told of crashes of upstreams that others pass on.
-        self.on_crashes: Callable[[CrashUpdate], None] = _ignore
+        #: Called with the sender and the age in ms of its store confirmation.
+        self.on_confirmation_age: Callable[[Member, int], None] = _ignore_pair
+        #: Handlers of requests and replies between two nodes, by message type.
+        self.direct_handlers: dict[
+            type, Callable[[DirectMessage, tuple[str, int]], None]
+        ] = {}
+        #: Called with gate reports from other nodes.
+        self.on_gate_reports: Callable[[ServiceReports], None] = _ignore
+        #: Called with crash reports from other nodes.
+        self.on_crash_update: Callable[[CrashUpdate], None] = _ignore
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of datagrams sent."""
+        """Total payload bytes of the UDP messages sent."""
         return self._sent_bytes
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for datagrams."""
+        """Bind the UDP socket."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
         )
 
     def add_seeds(self, seeds: list[tuple[str, int]]) -> None:
-        """Take further addresses through which to join."""
+        """Add addresses through which to join."""
         self._schedule.add_seeds(seeds)
 
     def tick(self) -> None:
-        """Carry the protocol on; call every :attr:`TICK`."""
+        """Send due gossip and start a due anti-entropy; call every :attr:`TICK_S`."""
         self._send_all(self._membership.tick())
         if self._schedule.due():
             address = self._schedule.begin(
@@ -116,64 +118,64 @@
             task.add_done_callback(self._background.discard)
 
     def introduce(self) -> None:
-        """Tell the others that this node is here."""
+        """Announce this node to the other members."""
         self._send_all(self._membership.introduce())
 
-    def tell(self, names: Iterable[str]) -> None:
-        """Tell some members at once what this node holds of the store."""
+    def push_held_versions(self, names: Iterable[str]) -> None:
+        """Send the versions that this node holds to the given members at once."""
         self._send_all(self._membership.tell(names))
 
     def leave(self) -> None:
-        """Tell the others that this node takes no new work."""
+        """Announce that this node accepts no new requests."""
         self._send_all(self._membership.leave())
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a datagram."""
+        """Dispatch a message by its type; count one that fails to decode."""
         try:
             message = decode_gossip(data, self._key)
         except ValueError:
             self._counters.events["gossip.refused"] += 1
             return
         if isinstance(message, GateNews):
-            self.on_reports(message.reports)
+            self.on_gate_reports(message.reports)
             return
         if isinstance(message, CrashUpdate):
-            self.on_crashes(message)
+            self.on_crash_update(message)
             return
-        direct = self.direct.get(type(message))
+        direct = self.direct_handlers.get(type(message))
         if direct is not None:
             direct(message, addr)
             return
-        self._hear(message.sender, message.held)
+        self._record_held_versions(message.sender, message.held)
         self._send_all(self._membership.on_message(message, addr))
 
-    def pass_on(self, news: GossipUpdate, count: int) -> None:
-        """Send news to so many members drawn at random."""
-        data = encode_gossip(news, self._key)
+    def send_to_random(self, update: GossipUpdate, count: int) -> None:
+        """Send an update to a number of random members."""
+        data = encode_gossip(update, self._key)
         for member in self._membership.some(count):
             self._send(data, member.address)
 
     def send(self, message: DirectMessage, address: tuple[str, int]) -> None:
-        """Send a request to a node, or a reply."""
+        """Send a request or reply to one node."""
         self._send(encode_gossip(message, self._key), address)
 
     def differing_records(self, request: SyncRequest) -> list[Member]:
-        """Return the records in which another's view differs from this one."""
+        """Return records from the digest buckets in which two views differ."""
         buckets = self._membership.digest.differing(request.digest)
-        return self._membership.records_in(buckets)[:MOST_RECORDS]
+        return self._membership.records_in(buckets)[:MAX_SYNC_RECORDS]
 
     def close(self) -> None:
-        """Stop."""
+        """Close the socket and cancel the background tasks."""
         if self._transport is not None:
             self._transport.close()
         for task in self._background:
             task.cancel()
 
-    def note_configuration(self, version: int) -> None:
-        """Take note that a node holds a version of the configuration."""
+    def observe_configuration(self, version: int) -> None:
+        """Record that some node holds a version of the configuration."""
         self.newest_configuration = max(self.newest_configuration, version)
 
-    def _hear(self, sender: Member, held: HeldVersions) -> None:
+    def _record_held_versions(self, sender: Member, held: HeldVersions) -> None:
         if held.configuration and held.configuration >= self.newest_configuration:
             self.newest_configuration = held.configuration
             self.configuration_source = sender
@@ -181,7 +183,7 @@
             self.newest_rules = held.rules
             self.rules_source = sender
         self.on_held_versions(held)
-        self.on_confirmed(sender, held.confirmed)
+        self.on_confirmation_age(sender, held.confirmed)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
         for send in sends:
@@ -207,9 +209,9 @@
             log_change("joined", members=len(membership.members))
 
 
-def _ignore(told: object) -> None:
+def _ignore(message: object) -> None:
     pass
 
 
-def _ignore_two(first: object, second: object) -> None:
+def _ignore_pair(first: object, second: object) -> None:
     pass
--- a/packages/rattanfork-node/rattanfork_node/member/join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/join.py
@@ -1,4 +1,4 @@
-"""How a node finds the others through the store."""
+"""Discovery of other nodes through the store at start-up."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,35 +10,34 @@
 
 from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.member.records import (
+    MEMBERS_TABLE,
     QUARANTINE_PREFIX,
-    TABLE,
     decode_record,
     record_key,
 )
 from rattanfork_node.telemetry import log_change
 
-#: Seconds between tries while the store does not answer: first and longest.
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 2.0
+#: Bounds of the exponential back-off while the store does not answer.
+_MIN_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 2.0
 
 
-def _ignore(value: object) -> None:
+def _ignore_quarantine(value: object) -> None:
     pass
 
 
 class JoinTask:
-    """Writes this node's record to the store, then reads those of others.
+    """Writes the record of this node to the store, then reads those of others.
 
     Explanation
     ===========
 
-    The store is linearizable.  Of two nodes that start at the same time, the
-    one that writes later reads the other's record, and its first datagram
-    tells the other.  So one write and one read are enough, and nobody needs
-    to watch the table: later changes travel between the nodes.
+    The store is linearizable.  Of two nodes that start concurrently, the one that
+    writes later reads the record of the other and introduces itself by gossip.
+    One write and one read are therefore sufficient, and no node has to watch the
+    table: later changes spread by gossip.
 
-    A row is named after the instance, so that a restarted node replaces its
-    own.
+    The row key is the instance name, so a restarted node replaces its own record.
 
     Parameters
     ==========
@@ -48,11 +47,11 @@
     platform : WatchedPlatform
         The store.
     membership : Membership
-        The view to fill.
-    member_task : GossipTask
-        Told of addresses to compare views with.
+        Membership view to populate.
+    gossip_task : GossipTask
+        Receives the addresses for anti-entropy and introduces this node.
     on_quarantine : callable
-        Gets the value of each row that holds what an instance knows of the quarantine.
+        Receives the value of each quarantine row.
     """
 
     def __init__(
@@ -60,58 +59,59 @@
         random: Random,
         platform: WatchedPlatform,
         membership: Membership,
-        member_task: GossipTask,
-        on_quarantine: Callable[[object], None] = _ignore,
+        gossip_task: GossipTask,
+        on_quarantine: Callable[[object], None] = _ignore_quarantine,
     ) -> None:
         self._random = random
         self._platform = platform
         self._membership = membership
-        self._member_task = member_task
+        self._gossip_task = gossip_task
         self._on_quarantine = on_quarantine
         self._task: asyncio.Task | None = None
         self._joined = False
 
     @property
     def joined(self) -> bool:
-        """Whether the others' records have been read."""
+        """Whether this node is recorded and has read the other records."""
         return self._joined
 
     def start(self) -> None:
-        """Begin."""
-        self._task = asyncio.ensure_future(self._join())
+        """Start joining."""
+        self._task = asyncio.ensure_future(self._run())
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the background task."""
         if self._task is not None:
             self._task.cancel()
 
     async def leave(self) -> None:
-        """Take this node's record back, if the store answers."""
+        """Remove the record of this node, if the store answers."""
         try:
             await self._platform.remove(self._row_key())
         except PlatformDownError as error:
             log_change("record_kept", error=str(error))
 
-    async def _join(self) -> None:
-        pause = _FIRST_PAUSE
+    async def _run(self) -> None:
+        delay = _MIN_RETRY_DELAY_S
         while not self._joined:
             try:
                 await self._platform.transact(
                     {}, {self._row_key(): list(self._membership.me)}
                 )
-                rows = await self._platform.scan(TABLE)
+                rows = await self._platform.scan(MEMBERS_TABLE)
             except PlatformDownError:
                 rows = None
             if rows is not None:
-                self._take(rows)
-                # A store restored between the two calls has lost the record again.
+                self._apply_rows(rows)
+                # If the store was restored from a backup between the two calls, the
+                # record is lost and has to be written again.
                 self._joined = self._membership.me.instance in rows.rows
             if not self._joined:
-                await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
-                pause = min(_LONGEST_PAUSE, 2 * pause)
+                await asyncio.sleep(delay * self._random.uniform(0.7, 1.3))
+                delay = min(_MAX_RETRY_DELAY_S, 2 * delay)
         log_change("joined", members=len(self._membership.members))
 
-    def _take(self, rows: Rows) -> None:
+    def _apply_rows(self, rows: Rows) -> None:
         me = self._membership.me
         members = []
         for key, row in rows.rows.items():
@@ -126,8 +126,8 @@
             if member.instance != me.instance:
                 members.append(member)
         self._membership.merge(members)
-        self._member_task.add_seeds([(m.host, m.peer_port) for m in members])
-        self._member_task.introduce()
+        self._gossip_task.add_seeds([(m.host, m.peer_port) for m in members])
+        self._gossip_task.introduce()
 
     def _row_key(self) -> str:
         return record_key(self._membership.me.instance)
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -1,4 +1,4 @@
-"""Carries the tokens of client accounts between nodes."""
+"""Distribution of rate-limit tokens of client accounts between nodes."""
 
 from collections.abc import Callable, Iterable
 from math import ceil
@@ -25,18 +25,25 @@
 
 from rattanfork_node.member.gossip_task import GossipTask
 
-#: Nodes of each data centre that issue tokens; each account falls to one of them.
-_ISSUERS = 8
-#: Seconds for which a failed node may still be issuing, unseen by this one.
-_DOUBTFUL_FOR = 10.0
-#: Seconds over which the size of the fleet is remembered.
-_FLEET_MEMORY = 30.0
-#: Ticks between two sweeps of what nobody asks for.
+#: Token issuers of each data centre; an account is assigned to one issuer at a time.
+_ISSUERS_PER_DATA_CENTRE = 8
+#: Time for which an issuer that seems failed may still issue tokens, as with a
+#: partition.
+_DOUBT_PERIOD_S = 10.0
+#: Window over which the largest fleet size is kept.
+_FLEET_SIZE_WINDOW_S = 30.0
+#: Ticks between two removals of unused state.
 _SWEEP_TICKS = 10
 
 
 class QuotaTask:
-    """Asks other nodes for tokens, and issues those that fall to this node.
+    """Requests tokens from their issuers, and issues those assigned to this node.
+
+    Explanation
+    ===========
+
+    Rendezvous hashing of account and instance orders the issuers of an account.  A
+    request goes to the first, and to the next ones if it does not answer.
 
     Parameters
     ==========
@@ -46,15 +53,15 @@
     random : Random
         Source of jitter.
     membership : Membership
-        Who is there.
-    member_task : GossipTask
-        Sends and receives datagrams.
+        Membership view of this node.
+    gossip_task : GossipTask
+        Sends and receives gossip messages.
     bound : QuotaBound
-        By how much limits may be exceeded.
+        Bound on the excess over limits.
     accounts : callable
         Returns the client accounts in force, or None.
     has_joined : callable
-        Whether this node has seen who else is there.
+        Returns whether this node has read the membership from the store.
     """
 
     def __init__(
@@ -62,25 +69,26 @@
         clock: Clock,
         random: Random,
         membership: Membership,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         bound: QuotaBound,
         accounts: Callable[[], AccountIndex | None],
         has_joined: Callable[[], bool],
     ) -> None:
         self._clock = clock
         self._membership = membership
-        self._member_task = member_task
+        self._gossip_task = gossip_task
         self._accounts = accounts
         self._has_joined = has_joined
-        self._view = -1
-        self._orders: dict[str, list[str]] = {}
-        #: The newest incarnation of each instance that issues, and when others did.
+        self._membership_version = -1
+        self._issuer_orders: dict[str, list[str]] = {}
+        #: Newest incarnation of each issuer, by instance; the set of issuers last
+        #: changed at ``_settled_at``.
         self._issuers: dict[str, Member] = {}
         self._settled_at = clock.now()
-        self._alive = 1
-        self._fleet = RecentMaximum(clock, _FLEET_MEMORY, 1)
-        #: When nodes failed that have not been replaced, by instance.
-        self._doubtful: dict[str, float] = {}
+        self._alive_count = 1
+        self._fleet_size = RecentMaximum(clock, _FLEET_SIZE_WINDOW_S, 1)
+        #: Times at which instances were suspected that have not been replaced.
+        self._failed_at: dict[str, float] = {}
         self._ticks = 0
         self.issuer = TokenIssuer(
             clock,
@@ -88,38 +96,38 @@
             self._is_primary,
             self._in_doubt,
             self._count_alive,
-            self._largest_fleet,
+            self._max_fleet_size,
             lambda: self._settled_at,
         )
-        self.leases = TokenLeases(clock, random, bound, self._order, self._send)
-        member_task.direct[QuotaRequest] = self.on_request
-        member_task.direct[QuotaReply] = self.on_reply
+        self.leases = TokenLeases(clock, random, bound, self._issuer_order, self._send)
+        gossip_task.direct_handlers[QuotaRequest] = self.on_request
+        gossip_task.direct_handlers[QuotaReply] = self.on_reply
 
     def on_request(self, request: QuotaRequest, address: tuple[str, int]) -> None:
-        """Issue tokens to another node; say nothing if that is not possible."""
+        """Issue tokens to another node; do not reply if this node cannot."""
         reply = self._issue(request)
         if reply is not None:
-            self._member_task.send(reply, address)
+            self._gossip_task.send(reply, address)
 
     def on_reply(self, reply: QuotaReply, address: tuple[str, int]) -> None:
-        """Take in tokens of another node."""
+        """Accept tokens issued by another node."""
         self.leases.on_reply(reply.number, reply.tokens, reply.wait / 1000)
 
     def on_status_change(self, member: Member, before: MemberStatus | None) -> None:
-        """Take note of who failed, and who is back."""
+        """Record when a member becomes suspected, and when it recovers."""
         if member.status == MemberStatus.ALIVE:
-            self._doubtful.pop(member.instance, None)
+            self._failed_at.pop(member.instance, None)
         elif member.status == MemberStatus.SUSPECT and not self._is_replaced(member):
-            self._doubtful[member.instance] = self._clock.now()
+            self._failed_at[member.instance] = self._clock.now()
 
     def tick(self) -> None:
-        """Carry on; call ten times a second."""
+        """Advance leases and expire old state; call ten times a second."""
         self._ticks += 1
-        self._look()
+        self._refresh_view()
         self.leases.tick()
         if self._ticks % _SWEEP_TICKS == 0:
             self.issuer.sweep()
-            self._forget_failed()
+            self._expire_failures()
 
     def _issue(self, request: QuotaRequest) -> QuotaReply | None:
         accounts = self._accounts()
@@ -141,28 +149,30 @@
             return
         member = self._membership.members.get(issuer)
         if member is not None:
-            self._member_task.send(message, member.address)
+            self._gossip_task.send(message, member.address)
 
-    def _order(self, account: str) -> list[str]:
-        """Return the issuers of an account, in order."""
-        self._look()
-        order = self._orders.get(account)
+    def _issuer_order(self, account: str) -> list[str]:
+        """Return the names of the issuers of an account, by priority."""
+        self._refresh_view()
+        order = self._issuer_orders.get(account)
         if order is None:
-            instances = sorted(self._issuers, key=lambda i: _place(account, i))
+            instances = sorted(
+                self._issuers, key=lambda i: _rendezvous_hash(account, i)
+            )
             order = [self._issuers[instance].name for instance in instances]
-            self._orders[account] = order
+            self._issuer_orders[account] = order
         return order
 
     def _is_primary(self, account: str) -> bool:
-        order = self._order(account)
+        order = self._issuer_order(account)
         return bool(order) and order[0] == self._membership.me.name
 
     def _in_doubt(self, account: str) -> bool:
-        mine = _place(account, self._membership.me.instance)
-        oldest = self._clock.now() - _DOUBTFUL_FOR
+        mine = _rendezvous_hash(account, self._membership.me.instance)
+        oldest = self._clock.now() - _DOUBT_PERIOD_S
         return any(
-            at > oldest and _place(account, instance) < mine
-            for instance, at in self._doubtful.items()
+            at > oldest and _rendezvous_hash(account, instance) < mine
+            for instance, at in self._failed_at.items()
         )
 
     def _is_replaced(self, member: Member) -> bool:
@@ -170,37 +180,37 @@
         return known is not None and known.boot > member.boot
 
     def _count_alive(self) -> int:
-        self._look()
-        return self._alive
+        self._refresh_view()
+        return self._alive_count
 
-    def _largest_fleet(self) -> int:
-        self._look()
-        return self._fleet.value
+    def _max_fleet_size(self) -> int:
+        self._refresh_view()
+        return self._fleet_size.value
 
-    def _look(self) -> None:
-        """Take note of another view of the members."""
-        if self._view == self._membership.version:
+    def _refresh_view(self) -> None:
+        """Recompute derived state if the membership view has changed."""
+        if self._membership_version == self._membership.version:
             return
-        self._view = self._membership.version
-        self._orders.clear()
-        newest = _newest_alive(self._membership.members.values())
-        self._alive = len(newest)
-        self._fleet.update(self._alive)
-        issuers = _issuers(newest)
+        self._membership_version = self._membership.version
+        self._issuer_orders.clear()
+        newest = _newest_alive_incarnations(self._membership.members.values())
+        self._alive_count = len(newest)
+        self._fleet_size.update(self._alive_count)
+        issuers = _select_issuers(newest)
         if issuers.keys() != self._issuers.keys():
             self._settled_at = self._clock.now()
         self._issuers = issuers
 
-    def _forget_failed(self) -> None:
-        oldest = self._clock.now() - _DOUBTFUL_FOR
-        failed = self._doubtful.items()
-        self._doubtful = {name: at for name, at in failed if at > oldest}
+    def _expire_failures(self) -> None:
+        oldest = self._clock.now() - _DOUBT_PERIOD_S
+        failed = self._failed_at.items()
+        self._failed_at = {name: at for name, at in failed if at > oldest}
 
 
-def _newest_alive(members: Iterable[Member]) -> dict[str, Member]:
-    """Return the members that are not suspected, one incarnation of each instance.
+def _newest_alive_incarnations(members: Iterable[Member]) -> dict[str, Member]:
+    """Return the newest live record of each instance.
 
-    After a restart of all, a view holds the records of processes that are gone.
+    After a restart of all nodes, a view still holds records of former processes.
     """
     newest: dict[str, Member] = {}
     for member in members:
@@ -211,15 +221,18 @@
     return newest
 
 
-def _issuers(members: dict[str, Member]) -> dict[str, Member]:
-    """Return the members that issue tokens, some of each data centre."""
-    centres: dict[str, list[str]] = {}
+def _select_issuers(members: dict[str, Member]) -> dict[str, Member]:
+    """Return the issuers, a bounded number of each data centre."""
+    data_centres: dict[str, list[str]] = {}
     for instance, member in members.items():
-        centres.setdefault(member.data_centre, []).append(instance)
-    chosen = (duty_group(names, "quota", _ISSUERS) for names in centres.values())
+        data_centres.setdefault(member.data_centre, []).append(instance)
+    chosen = (
+        duty_group(names, "quota", _ISSUERS_PER_DATA_CENTRE)
+        for names in data_centres.values()
+    )
     return {name: members[name] for names in chosen for name in names}
 
 
-def _place(account: str, instance: str) -> int:
-    """Return the place of an instance among the issuers of an account."""
+def _rendezvous_hash(account: str, instance: str) -> int:
+    """Return the weight of an instance for an account; the lowest issues first."""
     return hash64(f"{account}|{instance}")
--- a/packages/rattanfork-node/rattanfork_node/member/records.py
+++ b/packages/rattanfork-node/rattanfork_node/member/records.py
@@ -1,4 +1,4 @@
-"""Records of nodes as they stand in the store."""
+"""Rows in which nodes persist their records and the quarantine."""
 
 from collections.abc import Iterable, Mapping
 
@@ -6,62 +6,62 @@
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_platform import Row
 
-#: Table of all that nodes keep for those that start.
-TABLE = "members"
-#: Begins the keys of rows that hold what instances know of the quarantine.  They stand
-#: beside the members' records so that the one read at a start brings both.
+#: Table of the rows that nodes read at start-up.
+MEMBERS_TABLE = "members"
+#: Key prefix of quarantine rows.  They share the table with member records so that
+#: one scan at start-up returns both.
 QUARANTINE_PREFIX = "quarantine:"
 
 
 def record_key(instance: str) -> str:
-    """Return the key of the row that holds the record of an instance."""
-    return f"{TABLE}/{instance}"
+    """Return the key of the member record of an instance."""
+    return f"{MEMBERS_TABLE}/{instance}"
 
 
 def quarantine_key(instance: str) -> str:
-    """Return the key of the row in which an instance keeps its quarantine."""
-    return f"{TABLE}/{QUARANTINE_PREFIX}{instance}"
+    """Return the key of the quarantine row of an instance."""
+    return f"{MEMBERS_TABLE}/{QUARANTINE_PREFIX}{instance}"
 
 
 def decode_record(value: bytes) -> Member:
-    """Return the member whose record a row holds.
+    """Decode a member record.
 
     Raises
     ======
 
     ValueError
-        If the row holds none.
+        If the value is not a member record.
     """
     return Member.from_fields(orjson.loads(value))
 
 
-def lost_records(
+def missing_records(
     rows: Mapping[str, Row | None], present: Iterable[Member]
 ) -> list[Member]:
-    """Return the members whose records the store does not have.
+    """Return the live members whose stored record is absent or outdated.
 
     Parameters
     ==========
 
     rows : mapping
-        Rows of the table by the names of instances.
+        Rows of the table, by instance name.
     present : iterable of Member
-        The members as this node sees them.
+        Members in the view of this node.
     """
     return [
         member
         for member in present
         if member.status == MemberStatus.ALIVE
-        and _boot(rows.get(member.instance)) < member.boot
+        and _stored_boot(rows.get(member.instance)) < member.boot
     ]
 
 
-def _boot(row: Row | None) -> str:
-    """Return the boot in a row; boots sort by time, and "" before all."""
+def _stored_boot(row: Row | None) -> str:
+    """Return the boot of a stored record; boots sort by time, "" before all."""
     if row is None:
         return ""
     try:
         return decode_record(row.value).boot
     except ValueError:
-        # Written by somebody else; the member's own record takes its place.
+        # Malformed row of another writer; the member's record replaces it.
         return ""
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""What a node knows of instances belongs to their upstream's incarnation."""
+"""Tests of the instance directory."""
 
 from random import Random
 
@@ -11,11 +11,11 @@
     return Member(name, "b", "s", "dc1", "127.0.0.1", 1, 1, 8).replace(**changes)
 
 
-def test_a_successor_beside_the_same_node_is_known_anew():
-    """An upstream starts again while its node stays the same member.
+def test_statistics_are_reset_when_an_upstream_is_replaced():
+    """Guards against statistics of a former upstream process.
 
-    It is cold, and may be faster or slower than it was: the latency and the
-    failures of the one before say nothing of it.
+    The upstream restarts while its node stays the same member.  The new process is
+    cold, and the latency and failures of the old one do not apply to it.
     """
     clock = ManualClock(100.0)
     membership = Membership(clock, Random(1), record("me"))
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
@@ -1,4 +1,4 @@
-"""A gate tells how it fares, and what others tell goes on from node to node."""
+"""Tests of the gossip of gate reports."""
 
 from random import Random
 from types import SimpleNamespace
@@ -9,19 +9,19 @@
 from rattanfork_node.member.gate_report_task import GateReportTask
 
 
-class Sent:
-    """Keeps what is passed on."""
+class RecordingGossipTask:
+    """Records sent updates."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[GateNews, int]] = []
-        self.on_reports = None
+        self.sent: list[tuple[GateNews, int]] = []
+        self.on_gate_reports = None
 
-    def pass_on(self, news: GateNews, count: int) -> None:
-        self.news.append((news, count))
+    def send_to_random(self, update: GateNews, count: int) -> None:
+        self.sent.append((update, count))
 
 
-class World:
-    """A node with a gate of which the test says how it fares."""
+class Harness:
+    """Node with a gate whose state the test sets."""
 
     def __init__(self, size: int = 3) -> None:
         self.clock = ManualClock(100.0)
@@ -29,11 +29,13 @@
         self.membership = Membership(self.clock, Random(1), me)
         self.membership.merge(record(f"n{n}") for n in range(1, size))
         self.reports = GateReports(self.clock, me.name)
-        self.sent = Sent()
+        self.gossip_task = RecordingGossipTask()
         self.gate = SimpleNamespace(
             accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
         )
-        self.task = GateReportTask(self.reports, self.membership, self.sent, self.gate)
+        self.task = GateReportTask(
+            self.reports, self.membership, self.gossip_task, self.gate
+        )
 
     def tick(self, count: int = 1) -> None:
         for _ in range(count):
@@ -45,62 +47,62 @@
     return Member(name, "b", "s", "dc1", "127.0.0.1", 1, 1, 8)
 
 
-def test_on_a_calm_day_nothing_is_told():
-    world = World()
-    world.tick(100)
-    assert not world.sent.news
+def test_nothing_is_sent_without_overload():
+    harness = Harness()
+    harness.tick(100)
+    assert not harness.gossip_task.sent
 
 
-def test_a_gate_that_sheds_tells_until_it_is_open_again():
-    world = World()
-    world.gate.own_cut = 2.0
-    world.tick(5)
-    assert len(world.sent.news) == 5
-    [report] = world.sent.news[-1][0].reports["s"]
+def test_shedding_gate_reports_until_it_is_open_again():
+    harness = Harness()
+    harness.gate.own_cut = 2.0
+    harness.tick(5)
+    assert len(harness.gossip_task.sent) == 5
+    [report] = harness.gossip_task.sent[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (100, False)
-    world.gate.own_cut = 5.0
-    world.tick(60)
-    told = len(world.sent.news)
-    assert world.sent.news[-1][0].reports["s"][0].cut == 250
-    world.tick(20)
-    assert len(world.sent.news) == told
-
-
-def test_an_impaired_upstream_is_told_by_any_gate():
-    """Of a hundred gates sixteen tell their thresholds; who is impaired tells so."""
-    world = World(size=100)
-    world.task._tells_threshold = False
-    world.task._view = world.membership.version
-    world.gate.own_cut, world.gate.health.impaired = 2.0, True
-    world.tick(5)
-    [report] = world.sent.news[-1][0].reports["s"]
+    harness.gate.own_cut = 5.0
+    harness.tick(60)
+    sent_count = len(harness.gossip_task.sent)
+    assert harness.gossip_task.sent[-1][0].reports["s"][0].cut == 250
+    harness.tick(20)
+    assert len(harness.gossip_task.sent) == sent_count
+
+
+def test_impaired_upstream_is_reported_by_any_gate():
+    """Of 100 gates 16 report thresholds, but every one reports an impaired upstream."""
+    harness = Harness(size=100)
+    harness.task._reports_threshold = False
+    harness.task._membership_version = harness.membership.version
+    harness.gate.own_cut, harness.gate.health.impaired = 2.0, True
+    harness.tick(5)
+    [report] = harness.gossip_task.sent[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (250, True)
 
 
-def test_of_a_large_service_sixteen_gates_tell_their_thresholds():
+def test_sixteen_gates_of_a_large_service_report_thresholds():
     names = [f"n{n}" for n in range(100)]
-    telling = 0
+    reporter_count = 0
     for name in names:
-        world = World(size=0)
-        world.membership = Membership(world.clock, Random(1), record(name))
-        world.membership.merge(record(other) for other in names)
-        world.task._membership = world.membership
-        world.task._regroup()
-        telling += world.task._tells_threshold
-    assert telling == 16
-
-
-def test_what_others_tell_is_passed_on():
-    world = World()
-    other = GateReports(world.clock, "far@b")
+        harness = Harness(size=0)
+        harness.membership = Membership(harness.clock, Random(1), record(name))
+        harness.membership.merge(record(other) for other in names)
+        harness.task._membership = harness.membership
+        harness.task._update_reporters()
+        reporter_count += harness.task._reports_threshold
+    assert reporter_count == 16
+
+
+def test_reports_of_other_gates_are_forwarded():
+    harness = Harness()
+    other = GateReports(harness.clock, "far@b")
     other.report("deep", 1.0, impaired=True)
-    world.sent.on_reports(other.news())
-    world.tick()
-    assert "deep" in world.sent.news[0][0].reports
+    harness.gossip_task.on_gate_reports(other.news())
+    harness.tick()
+    assert "deep" in harness.gossip_task.sent[0][0].reports
 
 
-def test_a_gate_that_takes_no_work_says_nothing():
-    world = World()
-    world.gate.accepting, world.gate.own_cut = False, 1.0
-    world.tick(5)
-    assert not world.sent.news
+def test_gate_that_does_not_accept_requests_sends_no_report():
+    harness = Harness()
+    harness.gate.accepting, harness.gate.own_cut = False, 1.0
+    harness.tick(5)
+    assert not harness.gossip_task.sent
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
@@ -1,4 +1,4 @@
-"""Nodes find each other through the store."""
+"""Tests of discovery through the store."""
 
 import asyncio
 from random import Random
@@ -6,31 +6,31 @@
 import orjson
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.membership import Membership
-from rattanfork_node.config.tests.fakes import FakePlatform, member, until
+from rattanfork_node.config.tests.fakes import FakePlatform, member, wait_until
 from rattanfork_node.member.join import JoinTask
 
 
 def node(platform: FakePlatform, name: str) -> tuple[JoinTask, Membership]:
     membership = Membership(MonotonicClock(), Random(1), member(name))
-    return JoinTask(Random(1), platform, membership, Introductions()), membership
+    return JoinTask(Random(1), platform, membership, FakeGossipTask()), membership
 
 
-class Introductions:
-    """Stands for the task that sends datagrams; counts introductions."""
+class FakeGossipTask:
+    """Counts introductions."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def add_seeds(self, seeds: list) -> None:
-        """Take addresses of others."""
+        """Ignore the addresses."""
 
     def introduce(self) -> None:
-        """Tell the others of this node."""
+        """Count the call."""
         self.count += 1
 
 
 def encode_rows(platform: FakePlatform) -> None:
-    """Let the fake keep rows as bytes, as the store does."""
+    """Make the fake store rows as bytes, as the real store does."""
     put = platform.put
 
     def put_encoded(table, key, value):
@@ -39,20 +39,20 @@
     platform.put = put_encoded
 
 
-def test_of_two_nodes_that_start_together_one_finds_the_other():
-    """Many nodes start within a fraction of a second of each other.
+def test_one_of_two_concurrently_starting_nodes_finds_the_other():
+    """Guards against pairs of concurrently starting nodes that miss each other.
 
-    Each writes its record and then reads all.  Whoever writes later reads the
-    other's, so no pair can miss each other.
+    Each writes its record before it reads the table, so the later writer reads the
+    record of the earlier one.
     """
 
-    async def play():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         nodes = [node(platform, f"n{i}") for i in range(6)]
         for task, _ in nodes:
             task.start()
-        await until(lambda: all(task.joined for task, _ in nodes))
+        await wait_until(lambda: all(task.joined for task, _ in nodes))
         views = {
             membership.me.instance: {m.instance for m in membership.present()}
             for _, membership in nodes
@@ -63,79 +63,79 @@
         assert platform.calls.count("transact") == 6
         assert platform.calls.count("scan") == 6
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_store_that_is_away_is_asked_again():
-    async def play():
+def test_join_is_retried_until_the_store_answers():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         platform.down = True
         task, _ = node(platform, "n1")
         task.start()
-        await until(lambda: len(platform.calls) >= 2)
+        await wait_until(lambda: len(platform.calls) >= 2)
         assert not task.joined
         platform.down = False
-        await until(lambda: task.joined)
+        await wait_until(lambda: task.joined)
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_malformed_record_is_passed_over():
-    async def play():
+def test_malformed_record_is_skipped():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         platform.put("members", "bad", b"[1]")
         platform.put("members", "n2", list(member("n2")))
         task, membership = node(platform, "n1")
         task.start()
-        await until(lambda: task.joined)
+        await wait_until(lambda: task.joined)
         assert {m.instance for m in membership.present()} == {"n1", "n2"}
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_restarted_node_does_not_take_its_own_old_record_for_another():
-    async def play():
+def test_restarted_node_ignores_its_own_old_record():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         old = member("n1").replace(boot="older")
         platform.put("members", "n1", list(old))
         task, membership = node(platform, "n1")
         task.start()
-        await until(lambda: task.joined)
+        await wait_until(lambda: task.joined)
         assert len(membership.present()) == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_node_has_told_the_others_before_it_says_that_it_joined():
-    """A node is killed right after it became ready; then the store goes away.
+def test_node_introduces_itself_before_it_reports_joined():
+    """Guards against a node that no other node discovers.
 
-    The node that was there first has read the store before the other's record
-    was written, so only a datagram can tell it.  One that waits for the next
-    tick is never sent, and the successor is found by nobody.
+    An earlier node read the store before this one wrote its record, so only gossip
+    can announce it.  If this node is killed before the next tick and the store
+    then fails, nobody knows its address or discovers its restarted process.
     """
 
-    async def play():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         platform.put("members", "n2", list(member("n2")))
         membership = Membership(MonotonicClock(), Random(1), member("n1"))
-        others = Introductions()
-        task = JoinTask(Random(1), platform, membership, others)
+        gossip_task = FakeGossipTask()
+        task = JoinTask(Random(1), platform, membership, gossip_task)
         task.start()
-        await until(lambda: task.joined)
-        assert others.count == 1
+        await wait_until(lambda: task.joined)
+        assert gossip_task.count == 1
         assert [s.message.target for s in membership.introduce()] == [member("n2").name]
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_record_that_a_restore_took_away_is_written_again():
-    """Guards against a node that no later one finds."""
+def test_record_lost_in_a_store_restore_is_written_again():
+    """Guards against a node that later ones do not discover."""
 
-    async def play():
+    async def run():
         platform = FakePlatform()
         encode_rows(platform)
         scan = platform.scan
@@ -148,7 +148,7 @@
 
         platform.scan = scan_older
         task.start()
-        await until(lambda: task.joined)
+        await wait_until(lambda: task.joined)
         assert "n1" in platform.tables["members"]
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
@@ -1,4 +1,4 @@
-"""Tokens of client accounts that nodes issue to each other."""
+"""Tests of the distribution of client-account tokens between nodes."""
 
 from random import Random
 
@@ -17,11 +17,11 @@
 CLERKS = ClientAccount("clerks", rate=20, burst=20)
 
 
-class FakeMemberTask:
-    """Keeps what is sent."""
+class FakeGossipTask:
+    """Records sent messages."""
 
     def __init__(self) -> None:
-        self.direct: dict = {}
+        self.direct_handlers: dict = {}
         self.sent: list = []
 
     def send(self, message, address) -> None:
@@ -29,7 +29,7 @@
 
 
 class Node:
-    """A node among others; the test is the network."""
+    """One node of a fleet; the test acts as the network."""
 
     def __init__(self, number: int, size: int = 6) -> None:
         self.clock = ManualClock(100.0)
@@ -40,14 +40,14 @@
         self.membership = Membership(self.clock, Random(1), members[number])
         self.membership.merge(m for m in members if m is not members[number])
         self.members = members
-        self.member_task = FakeMemberTask()
+        self.gossip_task = FakeGossipTask()
         self.index: AccountIndex | None = AccountIndex({CLERKS: ["k"]})
         self.joined = True
         self.task = QuotaTask(
             self.clock,
             Random(1),
             self.membership,
-            self.member_task,
+            self.gossip_task,
             QuotaBound(),
             lambda: self.index,
             lambda: self.joined,
@@ -66,7 +66,7 @@
 
     @property
     def order(self) -> list[str]:
-        return self.task._order("clerks")
+        return self.task._issuer_order("clerks")
 
 
 def issuer_number() -> int:
@@ -74,40 +74,40 @@
     return int(name[1 : name.index("@")])
 
 
-def test_all_nodes_agree_on_the_order_of_issuers():
+def test_issuer_order_is_the_same_at_all_nodes():
     orders = {tuple(Node(number).order) for number in range(6)}
     assert len(orders) == 1
 
 
-def test_issuer_itself_sends_nothing():
+def test_issuer_grants_its_own_requests_locally():
     node = Node(issuer_number())
     node.take()
     assert node.verdicts == [Verdict.GRANTED]
-    assert node.member_task.sent == []
+    assert node.gossip_task.sent == []
 
 
-def test_other_nodes_ask_the_issuer():
+def test_other_nodes_request_tokens_from_the_issuer():
     number = issuer_number()
     node = Node((number + 1) % 6)
     node.take()
-    [(request, address)] = node.member_task.sent
+    [(request, address)] = node.gossip_task.sent
     assert address == node.members[number].address
     node.task.on_reply(QuotaReply(request.number, 1, 0), address)
     assert node.verdicts == [Verdict.GRANTED]
 
 
-def test_issuer_that_does_not_answer_is_passed_over():
+def test_next_issuer_is_asked_when_the_first_does_not_answer():
     node = Node((issuer_number() + 1) % 6)
     node.take()
     node.run(0.3)
-    asked = [address for _, address in node.member_task.sent]
+    asked = [address for _, address in node.gossip_task.sent]
     first, second = (node.membership.members[name].address for name in node.order[:2])
     assert asked[:2] == [first, first]
     me = node.membership.me.address
     assert len(asked) == 2 or asked[2] == second or second == me
 
 
-def test_suspected_issuer_gives_way_to_the_next():
+def test_suspected_issuer_is_removed_from_the_order():
     node = Node((issuer_number() + 1) % 6)
     first = node.order[0]
     suspect = node.membership.members[first].replace(status=MemberStatus.SUSPECT)
@@ -116,21 +116,21 @@
 
 
 def test_node_that_has_not_joined_issues_nothing():
-    """Guards against a fresh node that takes itself for the whole fleet."""
+    """Guards against a starting node that believes it is the only one."""
     node = Node(issuer_number())
     node.joined = False
     node.task.on_request(QuotaRequest(1, "n5@b", "clerks", 1), ("127.0.0.1", 6))
-    assert node.member_task.sent == []
+    assert node.gossip_task.sent == []
 
 
-def test_account_that_is_not_known_here_gets_no_reply():
+def test_request_for_an_unknown_account_gets_no_reply():
     node = Node(issuer_number())
     node.index = None
     node.task.on_request(QuotaRequest(1, "n5@b", "clerks", 1), ("127.0.0.1", 6))
-    assert node.member_task.sent == []
+    assert node.gossip_task.sent == []
 
 
-def test_unanswered_requests_end_as_unreachable():
+def test_unanswered_request_is_decided_as_unreachable():
     node = Node((issuer_number() + 1) % 6)
     node.joined = False
     node.take()
@@ -138,7 +138,7 @@
     assert node.verdicts == [Verdict.UNREACHABLE]
 
 
-def test_issuer_before_it_that_failed_is_in_doubt_until_it_is_replaced():
+def test_account_is_in_doubt_until_a_failed_prior_issuer_is_replaced():
     node = Node((issuer_number() + 1) % 6)
     first = node.order[0]
     known = node.membership.members[first]
@@ -148,8 +148,8 @@
     assert not node.task._in_doubt("clerks")
 
 
-def test_issuer_that_is_first_for_long_lets_a_burst_in():
-    """Guards against a view that is looked at only when the first request comes."""
+def test_established_issuer_grants_a_burst():
+    """Guards against a view that is refreshed only on the first request."""
     node = Node(issuer_number())
     node.run(10.0)
     for _ in range(20):
@@ -157,8 +157,8 @@
     assert node.verdicts == [Verdict.GRANTED] * 20
 
 
-def test_records_of_processes_that_are_gone_change_neither_order_nor_parts():
-    """Guards against half of each limit after a restart of all nodes."""
+def test_records_of_former_processes_change_neither_order_nor_fleet_size():
+    """Guards against halved limits after a restart of all nodes."""
     node = Node(issuer_number())
     order = [name.partition("@")[0] for name in node.order]
     gone = [m.replace(boot="a") for m in node.members]
