--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -13,7 +13,7 @@
 from rattanfork_node.telemetry import Counters, log_change
 
 #: Interval at which a node of the polling group checks the schedule.
-_MEMBER_TICK_S = 0.05
+_GROUP_TICK_S = 0.05
 #: The same for all other nodes.  Their delays are seconds, and the shorter interval
 #: would account for most of the CPU use of an idle node.
 _OUTSIDER_TICK_S = 0.25
@@ -27,6 +27,13 @@
 class ConfirmationTask:
     """Polls the store on a schedule and disseminates the result.
 
+    Explanation
+    ===========
+
+    A confirmation is a poll after which this node holds the newest version of all
+    replicas.  Every node gossips the age of its confirmation, and adopts a younger
+    one from others, so a few polls per second confirm the whole fleet.
+
     Parameters
     ==========
 
@@ -101,7 +108,7 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(
-                _MEMBER_TICK_S if self._roster.mine else _OUTSIDER_TICK_S
+                _GROUP_TICK_S if self._roster.mine else _OUTSIDER_TICK_S
             )
             self._report_age()
             if self._roster.version != self._roster_version:
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
@@ -169,7 +169,7 @@
             return
         try:
             async with asyncio.timeout(_PEER_TIMEOUT_S):
-                centre, reply = await self._pool.ask_rules(
+                data_centre, reply = await self._pool.ask_rules(
                     (member.host, member.peer_port), self._state.order
                 )
         except (LinkLostError, TimeoutError):
@@ -187,7 +187,7 @@
                 reply.text,
                 reply.era,
             )
-        if self._apply_record("peer", record, centre):
+        if self._apply_record("peer", record, data_centre):
             self._watch.restart()
 
     def _apply_record(
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -149,7 +149,7 @@
 
 
 @with_harness
-async def test_change_is_fetched_from_a_peer_while_the_store_is_down(harness):
+async def test_change_is_fetched_from_a_peer_while_the_store_rejects_calls(harness):
     """The store rejects only this node's calls while the operator makes a change.
 
     The node sees the newer version in gossip and asks a peer for the document.
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -131,7 +131,7 @@
         "a": Row(1, orjson.dumps(list(stored))),
         "b": Row(2, orjson.dumps(list(older.replace(boot="a")))),
         "c": Row(3, orjson.dumps(list(newer.replace(boot="z")))),
-        "f": Row(4, b"not a record"),
+        "f": Row(4, b"none of ours"),
     }
     present = [stored, older, newer, absent, dead, member("f")]
     assert [m.instance for m in missing_records(rows, present)] == ["b", "d", "f"]
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
@@ -25,8 +25,9 @@
 from rattanfork_node.member.join import JoinTask
 from rattanfork_node.telemetry import Counters
 
-#: The call is rejected; it is executed but its reply is lost; it is executed after a
-#: delay; the change history is truncated; the value is malformed; no fault.
+#: In this order: the call is rejected; it is executed but its reply is lost; it is
+#: executed after a delay; the change history is truncated; the value is malformed;
+#: no fault.
 FAULTS = ("away", "answer lost", "done late", "history gone", "malformed", "none")
 _LATE_WRITE_DELAY_S = 0.02
 
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quarantine_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quarantine_task.py
@@ -145,18 +145,18 @@
     old.task.on_crash(1, [7])
     old.task.on_crash(2, [7])
     await wait_until(lambda: old.row is not None)
-    fresh = Harness(platform, name="n2")
+    joining = Harness(platform, name="n2")
     join = JoinTask(
         Random(1),
         platform,
-        fresh.membership,
-        fresh.gossip_task,
-        fresh.task.merge_record,
+        joining.membership,
+        joining.gossip_task,
+        joining.task.merge_record,
     )
     join.start()
     await wait_until(lambda: join.joined)
-    assert fresh.quarantine.contains(7)
-    assert len(fresh.membership.members) == 1
+    assert joining.quarantine.contains(7)
+    assert len(joining.membership.members) == 1
 
 
 @on_loop
