--- a/packages/rattanfork-node/rattanfork_node/app/account_parts.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_parts.py
@@ -73,7 +73,7 @@
             settings.revoke_within,
             self._lease_task.hasten,
         )
-        self._lease_task.on_renewed = self.accounts.review
+        self._lease_task.on_renewed = self.accounts.recheck_waiting
 
     def on_member(self, member: Member, before: MemberStatus | None) -> None:
         """Take note of a member that came, went or is suspected."""
@@ -81,7 +81,7 @@
 
     def on_configuration(self) -> None:
         """Take note that another configuration came into force."""
-        self.accounts.review()
+        self.accounts.recheck_waiting()
 
     def tick(self) -> None:
         """Carry on; call ten times a second."""
--- a/packages/rattanfork-node/rattanfork_node/app/observer.py
+++ b/packages/rattanfork-node/rattanfork_node/app/observer.py
@@ -103,9 +103,9 @@
             store_pending=self._store_pending(),
             configuration=self._configuration.version,
             confirmed_s=round(self._confirmed_age(), 2),
-            running=self._gate.busy - self._gate.waiting,
+            running=self._gate.outstanding - self._gate.waiting,
             waiting=self._gate.waiting,
-            cut=round(self._gate.own_cut, 3),
+            cut=round(self._gate.own_threshold, 3),
             members=len(self._membership.present()),
             lines_left_out=self._log.left_out(),
         )
@@ -126,10 +126,10 @@
         members = Counter(m.status for m in self._membership.members.values())
         return {
             **{f"members_{_label(status)}": members[status] for status in MemberStatus},
-            "running": self._gate.busy - self._gate.waiting,
+            "running": self._gate.outstanding - self._gate.waiting,
             "waiting": self._gate.waiting,
             "slots": self._gate.slots,
-            "cut": self._gate.own_cut,
+            "cut": self._gate.own_threshold,
             "accepting": int(self._gate.accepting),
             "quarantined": len(self._quarantine.fingerprints),
             "impaired": int(self._gate.health.impaired),
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -40,9 +40,9 @@
 from rattanfork_node.member.quarantine_task import QuarantineTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.relay import (
-    Departure,
+    DecisionLog,
+    DrainPolicy,
     Gate,
-    Journal,
     Relay,
     RelayPeerHandler,
 )
@@ -187,7 +187,7 @@
         self._membership.on_status = self._on_member
         self._lease = ConfigurationLease(BootClock())
         self._objectives = RouteObjectives(self._clock)
-        self._journal = Journal(
+        self._journal = DecisionLog(
             self._clock,
             self._log,
             self._counters,
@@ -203,7 +203,10 @@
             self._counters,
             self._journal,
             RepeatGrants(
-                self._clock, relay.repeat_ratio, relay.repeat_extra, relay.repeat_window
+                self._clock,
+                relay.retry_budget_ratio,
+                relay.retry_budget_extra,
+                relay.retry_budget_window,
             ),
             self._quarantine,
         )
@@ -415,7 +418,7 @@
         )
         self._keeper.close()
         ends_at = shutdown.begin()
-        self._relay.leave(Departure(self._clock, ends_at, shutdown.serves_until))
+        self._relay.drain(DrainPolicy(self._clock, ends_at, shutdown.serves_until))
         removal = asyncio.ensure_future(self._store.leave())
         status = await shutdown.finish()
         removal.cancel()
--- a/packages/rattanfork-node/rattanfork_node/app/shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/shutdown.py
@@ -64,7 +64,9 @@
 
     def begin(self) -> float:
         """Begin to leave; return when the process ends at the latest."""
-        log_change("draining", runs=self._gate.busy, requests=self._callers.in_flight)
+        log_change(
+            "draining", runs=self._gate.outstanding, requests=self._callers.in_flight
+        )
         self._began = self._clock.now()
         self._gate.leave()
         self._callers.leave()
@@ -85,7 +87,7 @@
             await asyncio.sleep(_LOOK)
         if not self._in_flight:
             return 0
-        log_change("cut_off", runs=self._gate.busy, requests=self._in_flight)
+        log_change("cut_off", runs=self._gate.outstanding, requests=self._in_flight)
         return 1
 
     @property
@@ -94,4 +96,4 @@
 
     @property
     def _in_flight(self) -> int:
-        return self._callers.in_flight + self._gate.busy
+        return self._callers.in_flight + self._gate.outstanding
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
@@ -34,12 +34,12 @@
         self.done: dict[str, float] = {}
 
     @property
-    def busy(self) -> int:
+    def outstanding(self) -> int:
         return int(self.clock.passed < self.busy_for)
 
     @property
     def in_flight(self) -> int:
-        return self.busy
+        return self.outstanding
 
     def leave(self) -> None:
         """Stand for the gate, the server and the task of the members."""
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_keeper.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_keeper.py
@@ -12,7 +12,7 @@
 from rattanfork_node.app.upstream_keeper import UpstreamKeeper
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.tests.fakes import member
-from rattanfork_node.relay.tests.fakes import GateWorld
+from rattanfork_node.relay.tests.fakes import GateHarness
 from rattanfork_node.telemetry import Counters
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock(100.0)
-        self.gate = GateWorld().gate
+        self.gate = GateHarness().gate
         self.gate.detach()
         self.gate._upstream = None
         self.prober = FakeProber()
--- a/packages/rattanfork-node/rattanfork_node/app/upstream_keeper.py
+++ b/packages/rattanfork-node/rattanfork_node/app/upstream_keeper.py
@@ -147,7 +147,7 @@
             return
         known = self._gate.upstream
         upstream = Upstream(name, *self._address, slots, born)
-        replaced = known is not None and not upstream.continues(known)
+        replaced = known is not None and not upstream.is_same_incarnation(known)
         configuration = self._configuration.current
         connections = 2 * slots
         if configuration is not None and self._service in configuration.services:
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_news.py
@@ -60,7 +60,7 @@
         if impaired != self._impaired:
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
-        cut = gate.own_cut if self._tells_threshold else None
+        cut = gate.own_threshold if self._tells_threshold else None
         self._reports.report(self._membership.me.service, cut, impaired)
 
     def _regroup(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
@@ -31,7 +31,7 @@
         self.reports = GateReports(self.clock, me.name)
         self.sent = Sent()
         self.gate = SimpleNamespace(
-            accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
+            accepting=True, own_threshold=5.0, health=SimpleNamespace(impaired=False)
         )
         self.task = GateNewsTask(self.reports, self.membership, self.sent, self.gate)
 
@@ -53,12 +53,12 @@
 
 def test_a_gate_that_sheds_tells_until_it_is_open_again():
     world = World()
-    world.gate.own_cut = 2.0
+    world.gate.own_threshold = 2.0
     world.tick(5)
     assert len(world.sent.news) == 5
     [report] = world.sent.news[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (100, False)
-    world.gate.own_cut = 5.0
+    world.gate.own_threshold = 5.0
     world.tick(60)
     told = len(world.sent.news)
     assert world.sent.news[-1][0].reports["s"][0].cut == 250
@@ -71,7 +71,7 @@
     world = World(size=100)
     world.task._tells_threshold = False
     world.task._view = world.membership.version
-    world.gate.own_cut, world.gate.health.impaired = 2.0, True
+    world.gate.own_threshold, world.gate.health.impaired = 2.0, True
     world.tick(5)
     [report] = world.sent.news[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (250, True)
@@ -101,6 +101,6 @@
 
 def test_a_gate_that_takes_no_work_says_nothing():
     world = World()
-    world.gate.accepting, world.gate.own_cut = False, 1.0
+    world.gate.accepting, world.gate.own_threshold = False, 1.0
     world.tick(5)
     assert not world.sent.news
--- a/packages/rattanfork-node/rattanfork_node/relay/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/__init__.py
@@ -5,20 +5,20 @@
 """
 
 from rattanfork_node.relay.client_accounts import ClientAccounts
-from rattanfork_node.relay.departure import Departure
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.drain_policy import DrainPolicy
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.peers import RelayPeerHandler
+from rattanfork_node.relay.peer_handler import RelayPeerHandler
 from rattanfork_node.relay.relay import Relay
 from rattanfork_node.relay.settings import RelaySettings
 
 __all__ = [
     "ClientAccounts",
-    "Departure",
+    "DrainPolicy",
     "Gate",
     "Job",
-    "Journal",
+    "DecisionLog",
     "Relay",
     "RelayPeerHandler",
     "RelaySettings",
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -159,7 +159,7 @@
             self._quota.give_back(exchange.account, exchange.granted_at)
             exchange.granted_at = None
 
-    def review(self) -> None:
+    def recheck_waiting(self) -> None:
         """Look again at the requests that wait: there is news, or time has passed."""
         waiting, self._waiting = self._waiting, []
         for each in waiting:
@@ -171,7 +171,7 @@
     def tick(self) -> None:
         """Carry on; call ten times a second."""
         if self._waiting:
-            self.review()
+            self.recheck_waiting()
         now = self._clock.now()
         for name, at in list(self._limited.items()):
             if now - at > _WITHIN_AFTER:
--- a/packages/rattanfork-node/rattanfork_node/relay/journal.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
@@ -11,7 +11,7 @@
 from rattanfork_core.trace import loss_cause
 
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.telemetry import Counters, RequestLog
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from rattanfork_node.relay.job import Job
 
 
-class Journal:
+class DecisionLog:
     """Writes the lines of this node's decisions on requests.
 
     Explanation
--- a/packages/rattanfork-node/rattanfork_node/relay/departure.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -9,7 +9,7 @@
 _USUAL_TIMES = 4.0
 
 
-class Departure:
+class DrainPolicy:
     """Decides which requests a node takes that was told to stop.
 
     Explanation
@@ -40,7 +40,7 @@
         self._ends_at = ends_at
         self._serves_until = serves_until
 
-    def takes(self, route: Route, picker: InstancePicker) -> bool:
+    def accepts(self, route: Route, picker: InstancePicker) -> bool:
         """Return whether a caller's request of a route is still taken."""
         now = self._clock.now()
         left = self._ends_at - now
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -20,7 +20,7 @@
 from rattanfork_core.request.commands import Command
 
 from rattanfork_node.peer import Cancel, LinkLostError, PeerLink, Run, RunReply
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.relay.job import Job
 
 if TYPE_CHECKING:
@@ -223,7 +223,7 @@
         attempt = self._attempt
         self._link = None
         if self._state is not None:
-            self._state.busy = self._relay.gate.busy
+            self._state.busy = self._relay.gate.outstanding
         self._job = Job(
             member.boot,
             admitted.operation,
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -23,9 +23,9 @@
     render_head,
 )
 from rattanfork_node.relay.crash_detector import CrashDetector
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.gate_results import lost, not_run, result_of
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.results import lost, not_run, result_of
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters
 
@@ -95,7 +95,7 @@
         boot: str,
         names: HeaderNames,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         grants: RepeatGrants,
         quarantine: Quarantine,
     ) -> None:
@@ -157,12 +157,12 @@
         return self._accepting
 
     @property
-    def own_cut(self) -> float:
+    def own_threshold(self) -> float:
         """Threshold of this gate alone."""
         return self._admission.cut
 
     @property
-    def busy(self) -> int:
+    def outstanding(self) -> int:
         """Requests waiting or running."""
         return len(self._jobs)
 
@@ -179,7 +179,7 @@
     def attach(self, upstream: Upstream, connections: int) -> None:
         """Take new work for an upstream that announced itself."""
         known = self._upstream
-        if known is None or not upstream.continues(known):
+        if known is None or not upstream.is_same_incarnation(known):
             if known is not None and self._accepting:
                 in_flight = (j for j in self._jobs.values() if j.connection is not None)
                 self._crash_detector.on_replaced([j.fingerprint for j in in_flight])
@@ -209,7 +209,7 @@
         prefix, dot, _ = request_id.rpartition(b".")
         return self._running.get(prefix) if dot else None
 
-    def cut(self, operation: str) -> float:
+    def threshold(self, operation: str) -> float:
         """Return the threshold to announce: the gate's or a deeper one."""
         return min(self._admission.cut, self._deeper.cut(operation, _HERE))
 
--- a/packages/rattanfork-node/rattanfork_node/relay/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -141,8 +141,8 @@
                     result.block,
                     result.body,
                     result.retry_elsewhere,
-                    float(self._gate.cut(operation)),
-                    self._gate.busy,
+                    float(self._gate.threshold(operation)),
+                    self._gate.outstanding,
                     list(result.reach),
                 )
             )
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -8,7 +8,7 @@
 
 from rattanfork_node.http1 import Exchange, HeaderNames
 from rattanfork_node.relay.client_accounts import ClientAccounts, Refusal
-from rattanfork_node.relay.journal import Journal
+from rattanfork_node.relay.decision_log import DecisionLog
 from rattanfork_node.telemetry import Counters
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
         self,
         names: HeaderNames,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         accounts: ClientAccounts,
     ) -> None:
         self._names = names
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -33,20 +33,20 @@
 from rattanfork_node.http1.handler import RequestHandler
 from rattanfork_node.member.directory import Directory
 from rattanfork_node.peer import PeerPool
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.relay.client_accounts import ClientAccounts
-from rattanfork_node.relay.departure import Departure
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.drain_policy import DrainPolicy
 from rattanfork_node.relay.forwarding import Forwarding
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.ranking import rank_of_request
 from rattanfork_node.relay.refusals import NOT_RUN_STATUS, Refusals
+from rattanfork_node.relay.request_rank import rank_of_request
 from rattanfork_node.relay.settings import RelaySettings
 from rattanfork_node.telemetry import Counters
 
 if TYPE_CHECKING:
-    from rattanfork_node.relay.ruling import Ruler, Verdict
+    from rattanfork_node.relay.rule_decisions import Ruler, Verdict
 
 #: Seconds before the deadline at which a request is given up, so that its
 #: answer still reaches the caller in time.
@@ -119,7 +119,7 @@
         pool: PeerPool,
         gate: Gate,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         reports: GateReports,
         quarantine: Quarantine,
         accounts: ClientAccounts,
@@ -148,7 +148,7 @@
         self._rules = rules
         self._ruler: Ruler | None = None
         self._membership = membership
-        self._departure: Departure | None = None
+        self._departure: DrainPolicy | None = None
         self._operations: dict[tuple[str, str], str] = {}
         self._background: set[asyncio.Task] = set()
         self._caller_line = names.caller + b": " + settings.service.encode() + b"\r\n"
@@ -224,7 +224,7 @@
                 return
             if verdict.data_centre is not None:
                 elsewhere = picker.outside(verdict.data_centre)
-        if self._departure is not None and not self._departure.takes(route, picker):
+        if self._departure is not None and not self._departure.accepts(route, picker):
             after = self._settings.retry_after
             self._refusals.refuse(exchange, Reason.LEAVING, after, route=route.name)
             return
@@ -263,7 +263,7 @@
         # Each gate may be asked if all shed: it judges for itself.
         return blocked | shedding if len(shedding) < len(picker.subset) else blocked
 
-    def leave(self, departure: Departure) -> None:
+    def drain(self, departure: DrainPolicy) -> None:
         """Take only what a departing node does.
 
         Calls of runs at the node's own upstream are taken until the end: those
@@ -368,7 +368,7 @@
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
     ) -> Verdict:
         if self._ruler is None:
-            from rattanfork_node.relay.ruling import Ruler
+            from rattanfork_node.relay.rule_decisions import Ruler
 
             self._ruler = Ruler(self.clock, self._settings.data_centre)
         return self._ruler.rule(
@@ -383,7 +383,7 @@
 
     def _pass_up(self, parent: Job, admitted: Admitted, result: CallResult) -> None:
         operation, picker = admitted.operation, admitted.picker
-        own_cut = self.gate.cut(operation)
+        own_cut = self.gate.threshold(operation)
         cut = self.early.highest(picker, operation, self.my_name, own_cut)
         if cut is not None:
             parent.heard_cut = min(parent.heard_cut, cut)
--- a/packages/rattanfork-node/rattanfork_node/relay/settings.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/settings.py
@@ -20,12 +20,12 @@
         Shortest time, in seconds, for which a refused caller stays away.
         Callers wait at most a third of the time they have left, so more
         would not be heeded.
-    repeat_ratio : float
+    retry_budget_ratio : float
         Repeated arrivals that a service may get for each request, over all
         nodes.
-    repeat_extra : float
+    retry_budget_extra : float
         Repeated arrivals that it may get besides in one window, over all.
-    repeat_window : float
+    retry_budget_window : float
         Length of that window, in seconds.
     revoke_within : float or None
         Seconds in which a key that was taken away must be out of use at every node;
@@ -37,8 +37,8 @@
     service: str
     data_centre: str
     retry_after: float = 0.25
-    repeat_ratio: float = 0.2
-    repeat_extra: float = 48.0
-    repeat_window: float = 10.0
+    retry_budget_ratio: float = 0.2
+    retry_budget_extra: float = 48.0
+    retry_budget_window: float = 10.0
     revoke_within: float | None = None
     quota: QuotaBound = field(default_factory=QuotaBound)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -22,7 +22,7 @@
 from rattanfork_node.http1.exchange import Exchange
 from rattanfork_node.member.directory import Directory
 from rattanfork_node.peer import LinkLostError, Run, RunReply
-from rattanfork_node.relay import ClientAccounts, Journal, Relay, RelaySettings
+from rattanfork_node.relay import ClientAccounts, DecisionLog, Relay, RelaySettings
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
 from rattanfork_node.relay.upstream import Upstream
@@ -101,14 +101,14 @@
         self.lines.append({"kind": kind, "id": request_id.decode(), **fields})
 
 
-class GateWorld:
+class GateHarness:
     """A gate with an upstream that the test speaks for."""
 
     def __init__(self, slots: int = 1) -> None:
         self.clock = ManualClock(100.0)
         self.log = FakeLog(self.clock)
         holder, rules = ConfigurationHolder(lambda _: None), RevisionState()
-        journal = Journal(self.clock, self.log, Counters(), holder, rules)
+        journal = DecisionLog(self.clock, self.log, Counters(), holder, rules)
         self.grants = RepeatGrants(self.clock, ratio=0.2, extra=48, window=10)
         self.quarantine = Quarantine(self.clock)
         self.gate = Gate(
@@ -244,7 +244,7 @@
         pass
 
 
-class RelayWorld:
+class RelayHarness:
     """A relay on node ``me`` of service ``s``, with peers and an upstream."""
 
     def __init__(
@@ -269,7 +269,7 @@
             peer = Member(f"p{place}", "b", "t", "dc1", "127.0.0.1", 2 + place, 2, 8)
             membership.merge([peer])
             self.pool.links[peer.name] = FakeLink(peer.name)
-        self.gate_world = GateWorld(8)
+        self.gate_world = GateHarness(8)
         self.gate = self.gate_world.gate
         self.gate._clock = self.clock
         self.quarantine = self.gate_world.quarantine = Quarantine(self.clock)
@@ -309,7 +309,7 @@
             self.pool,
             self.gate,
             self.counters,
-            Journal(
+            DecisionLog(
                 self.clock,
                 self.log,
                 self.counters,
@@ -327,7 +327,7 @@
         self.index = None if accounts is None else AccountIndex(accounts)
         self.version += 1
         self.holder.offer(b"-")
-        self.accounts.review()
+        self.accounts.recheck_waiting()
 
     def _want_proof(self) -> None:
         self.proofs_wanted += 1
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -7,22 +7,22 @@
 from rattanfork_core.quota import Verdict
 from rattanfork_core.request import Outcome
 
-from rattanfork_node.relay.tests.fakes import RelayWorld, on_loop
+from rattanfork_node.relay.tests.fakes import RelayHarness, on_loop
 
 CLERKS = ClientAccount("clerks", priority=1, rate=10, burst=10)
 AUDITORS = ClientAccount("auditors", priority=0)
 ACCOUNTS = {CLERKS: ["key-of-clerks", "old-key"], AUDITORS: ["key-of-auditors"]}
 
 
-def world(**more) -> RelayWorld:
-    return RelayWorld(peers=1, accounts=ACCOUNTS, **more)
+def world(**more) -> RelayHarness:
+    return RelayHarness(peers=1, accounts=ACCOUNTS, **more)
 
 
 def status_of(exchange) -> int | None:
     return exchange.output[0] if exchange.output else None
 
 
-def run_of(world: RelayWorld):
+def run_of(world: RelayHarness):
     [(run, _)] = world.links[0].runs
     return run
 
@@ -36,7 +36,7 @@
 
 @on_loop
 async def test_without_accounts_no_key_is_asked_for():
-    each = RelayWorld(peers=1)
+    each = RelayHarness(peers=1)
     each.ask()
     assert run_of(each).account == ""
 
@@ -50,7 +50,7 @@
     if len(keys) == 1:
         each.clock.advance(0.1)
         each.lease.confirm(each.clock.now())
-        each.accounts.review()
+        each.accounts.recheck_waiting()
     assert status_of(exchange) == 401
     assert each.runs == []
 
@@ -86,7 +86,7 @@
     each.accounts.tick()
     assert status_of(exchange) is None
     each.lease.confirm(each.clock.now())
-    each.accounts.review()
+    each.accounts.recheck_waiting()
     assert status_of(exchange) == 401
 
 
@@ -148,7 +148,7 @@
     exchange = each.ask(keys=[b"old-key"])
     each.clock.advance(0.2)
     each.lease.confirm(each.clock.now())
-    each.accounts.review()
+    each.accounts.recheck_waiting()
     assert status_of(exchange) == 401
 
 
@@ -268,7 +268,7 @@
     each.ask(request_id="r3", keys=[b"a-wrong-key"])
     each.clock.advance(0.1)
     each.lease.confirm(each.clock.now())
-    each.accounts.review()
+    each.accounts.recheck_waiting()
     lines = json.dumps(each.log.lines)
     assert len(each.log.lines) >= 2
     for key in ("key-of-clerks", "old-key", "a-wrong-key"):
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_crash_detector.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_crash_detector.py
@@ -6,7 +6,7 @@
 from rattanfork_core.quarantine import SuspectTracker
 
 from rattanfork_node.relay.crash_detector import CrashDetector
-from rattanfork_node.relay.tests.fakes import FakeUpstreamPool, GateWorld, on_loop
+from rattanfork_node.relay.tests.fakes import FakeUpstreamPool, GateHarness, on_loop
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters
 
@@ -82,7 +82,7 @@
 @on_loop
 async def test_replacement_suspects_what_its_silent_predecessor_still_ran():
     """Guards against an upstream that loses its power and so resets nothing."""
-    world = GateWorld(slots=2)
+    world = GateHarness(slots=2)
     crashes: list[frozenset[int]] = []
     world.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
     job, _ = world.submit("r1")
@@ -92,7 +92,7 @@
 
 @on_loop
 async def test_end_of_an_upstream_that_has_left_suspects_nobody():
-    world = GateWorld(slots=2)
+    world = GateHarness(slots=2)
     crashes: list[frozenset[int]] = []
     world.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
     world.pool.open, world.pool.accepting = 0, False
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_journal.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
-from rattanfork_node.relay.tests.fakes import GateWorld, RelayWorld, on_loop
+from rattanfork_node.relay.tests.fakes import GateHarness, RelayHarness, on_loop
 
 ANSWERED, NOT_RUN, UNKNOWN = Outcome.ANSWERED, Outcome.NOT_RUN, Outcome.UNKNOWN
 
@@ -16,7 +16,7 @@
     The caller is refused at its own node; the line holds what was heard, how
     long ago, and which configuration was in force.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.ask()
     world.links[0].reply(0, ANSWERED, status=200, cut=2.0)
     world.clock.advance(0.125)
@@ -31,7 +31,7 @@
 @on_loop
 async def test_the_line_of_a_request_has_every_attempt_in_order():
     """The first instance fails by itself, the second answers."""
-    world = RelayWorld(peers=2, most_upstreams=2)
+    world = RelayHarness(peers=2, most_upstreams=2)
     world.ask()
     [(first, place)] = world.runs
     world.clock.advance(0.02)
@@ -51,7 +51,7 @@
 @on_loop
 async def test_a_lost_connection_is_told_with_what_the_caller_got():
     """A posting's link is lost after it was handed over; nobody knows its end."""
-    world = RelayWorld(peers=1, idempotent=False)
+    world = RelayHarness(peers=1, idempotent=False)
     world.pool.verdicts = [FenceVerdict.HANDED_OVER]
     world.ask()
     [(link, place)] = world.runs
@@ -65,7 +65,7 @@
 
 def test_the_line_of_a_run_tells_its_queue_and_the_state_of_the_gate():
     """One slot is taken; a second request waits for it."""
-    world = GateWorld()
+    world = GateHarness()
     world.submit("first")
     world.submit("second")
     world.clock.advance(0.05)
@@ -79,7 +79,7 @@
 
 
 def test_a_refusal_at_the_gate_is_told_with_its_reason():
-    world = GateWorld()
+    world = GateHarness()
     world.gate.detach()
     world.submit("late")
     [line] = world.log.lines
@@ -87,7 +87,7 @@
     assert line["run_ms"] is None
 
 
-def counted(world: RelayWorld) -> dict[str, tuple[int, int]]:
+def counted(world: RelayHarness) -> dict[str, tuple[int, int]]:
     world.objectives.roll()
     return {route: windows[0] for route, windows in world.objectives.totals()}
 
@@ -99,7 +99,7 @@
     A call of a run and a request that its caller gave up are no measure of
     whole requests, and are left out.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     [link] = world.links
     for number, (status, wait) in enumerate([(200, 0.1), (200, 5.0), (500, 0.1)]):
         world.ask(request_id=f"r{number}")
@@ -112,7 +112,7 @@
     link.reply(3, ANSWERED, status=200, cut=0.0)
     world.ask(request_id="refused")
     assert counted(world) == {"r": (1, 3)}
-    world = RelayWorld()
+    world = RelayHarness()
     world.ask()
     assert counted(world) == {"r": (0, 1)}
 
@@ -120,7 +120,7 @@
 @on_loop
 async def test_attempts_of_one_caller_share_a_fingerprint():
     """Guards against lines by which nobody sees that a request has come again."""
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.ask("/a/x", request_id="r1")
     world.links[0].reply(0, UNKNOWN, Reason.CONNECTION)
     world.ask("/a/x", request_id="r2")
@@ -134,11 +134,11 @@
 @on_loop
 async def test_gate_and_first_node_give_a_request_the_same_fingerprint():
     """Guards against lines of two nodes that can't be put together."""
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.ask("/a/x")
     run = world.links[0].runs[0][0]
     world.links[0].reply(0, UNKNOWN, Reason.CONNECTION)
-    gate = GateWorld()
+    gate = GateHarness()
     gate.submit(target=run.target, block=run.block, body=run.body)
     gate.pool.connections[0].done(None)
     [at_first_node] = world.log.lines
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -8,7 +8,7 @@
 from rattanfork_core.account import RepeatGrants
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
-from rattanfork_node.relay.tests.fakes import FakeLink, RelayWorld, on_loop
+from rattanfork_node.relay.tests.fakes import FakeLink, RelayHarness, on_loop
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     elsewhere: bool = True
     verdict: FenceVerdict | None = None
 
-    def strike(self, world: RelayWorld, link: FakeLink, place: int) -> None:
+    def strike(self, world: RelayHarness, link: FakeLink, place: int) -> None:
         """Let it become of an attempt."""
         if self.outcome is None:
             world.pool.verdicts.append(self.verdict)
@@ -68,7 +68,7 @@
 class Gates:
     """Stands for the gates of the service: they count arrivals and grant repeats."""
 
-    def __init__(self, world: RelayWorld) -> None:
+    def __init__(self, world: RelayHarness) -> None:
         self.grants = RepeatGrants(world.clock, ratio=0.2, extra=48, window=10)
         self.granted = 0
 
@@ -89,7 +89,7 @@
         return self.grants._budget.allowed
 
 
-def _next_attempt(world: RelayWorld, seen: set) -> tuple[FakeLink, int] | None:
+def _next_attempt(world: RelayHarness, seen: set) -> tuple[FakeLink, int] | None:
     for link, place in world.runs:
         if (link.peer, place) not in seen:
             seen.add((link.peer, place))
@@ -98,7 +98,7 @@
 
 
 async def _play(faults: tuple[Fault, ...], idempotent: bool) -> None:
-    world = RelayWorld(peers=3, idempotent=idempotent, most_upstreams=2)
+    world = RelayHarness(peers=3, idempotent=idempotent, most_upstreams=2)
     exchange = world.ask()
     seen: set = set()
     struck: list[Fault] = []
@@ -130,7 +130,7 @@
     arrivals = sum(fault.may_run or fault.reason in AT_WORKER for fault in struck)
     assert arrivals - 1 <= gates.granted <= gates.allowed, "a repeat not paid for"
     assert len(struck) <= 2 + gates.granted, "sent too often"
-    assert world.gate.busy == 0
+    assert world.gate.outstanding == 0
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
@@ -4,7 +4,7 @@
 from rattanfork_core.request import Outcome, Reason
 
 from rattanfork_node.relay.tests.fakes import FakeConnection, on_loop
-from rattanfork_node.relay.tests.fakes import GateWorld as World
+from rattanfork_node.relay.tests.fakes import GateHarness as World
 
 
 def test_a_request_names_the_incarnation_and_the_time_left():
@@ -61,7 +61,7 @@
     world.pool.broken = True
     _, results = world.submit()
     assert results[0].outcome is Outcome.NOT_RUN
-    assert world.gate.busy == 0
+    assert world.gate.outstanding == 0
 
 
 def test_a_caller_that_leaves_stops_what_may_be_repeated():
@@ -81,9 +81,9 @@
     job, _ = world.submit(idempotent=False)
     world.gate.cancel(job)
     assert not world.pool.connections[0].aborted
-    assert world.gate.busy == 1
+    assert world.gate.outstanding == 1
     world.answer(0)
-    assert world.gate.busy == 0
+    assert world.gate.outstanding == 0
 
 
 def test_what_is_cancelled_while_it_gets_a_connection_is_not_sent():
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
@@ -11,7 +11,7 @@
 from rattanfork_node.relay.tests.fakes import (
     FakeConnection,
     FakeUpstreamPool,
-    GateWorld,
+    GateHarness,
     on_loop,
 )
 from rattanfork_node.relay.upstream import Upstream
@@ -19,7 +19,7 @@
 _NOT_RUN = {b"rattanfork-not-run": b"1"}
 
 
-class World(GateWorld):
+class World(GateHarness):
     """A gate with one slot, a request at it and one behind that."""
 
     def __init__(self, idempotent: bool, holding: bool) -> None:
@@ -129,7 +129,7 @@
         if not idempotent and sent and not world.proves_not_run(sent[0]):
             lived_on = world.births == 1
             assert not (sent[0].aborted and lived_on), "cut off what runs once only"
-    assert world.gate.busy == 0, "a request is still counted"
+    assert world.gate.outstanding == 0, "a request is still counted"
     assert world.gate._admission.running == 0, "a slot is lost"
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_quarantine.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_quarantine.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.request import Outcome, Reason
 
-from rattanfork_node.relay.tests.fakes import GateWorld, RelayWorld, on_loop
+from rattanfork_node.relay.tests.fakes import GateHarness, RelayHarness, on_loop
 
 ANSWERED, NOT_RUN, UNKNOWN = Outcome.ANSWERED, Outcome.NOT_RUN, Outcome.UNKNOWN
 
@@ -15,7 +15,7 @@
 
 @on_loop
 async def test_first_node_refuses_what_is_quarantined():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     first = world.ask("/a/x")
     quarantine(world, first.fingerprint)
     refused = world.ask("/a/x", request_id="r2")
@@ -30,7 +30,7 @@
 
 @on_loop
 async def test_quarantined_request_is_let_in_after_its_time():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     first = world.ask("/a/x")
     quarantine(world, first.fingerprint)
     world.clock.advance(301)
@@ -40,18 +40,18 @@
 
 def test_gate_does_not_run_what_is_quarantined():
     """Guards against a first node that has not received the report yet."""
-    world = GateWorld(slots=4)
+    world = GateHarness(slots=4)
     probe, _ = world.submit("r0")
     quarantine(world, probe.fingerprint)
     _, results = world.submit("r1")
     assert [(r.outcome, r.reason) for r in results] == [(NOT_RUN, Reason.QUARANTINED)]
     assert not results[0].retry_elsewhere
     assert [c.sent for c in world.pool.connections[1:]] == [b""]
-    assert world.gate.busy == 1
+    assert world.gate.outstanding == 1
 
 
 def test_waiting_request_is_not_run_once_it_is_quarantined():
-    world = GateWorld(slots=1)
+    world = GateHarness(slots=1)
     world.submit("r0", target=b"/other")
     waiting, results = world.submit("r1")
     quarantine(world, waiting.fingerprint)
@@ -61,7 +61,7 @@
 
 @on_loop
 async def test_caller_of_a_request_refused_at_a_gate_learns_when_to_return():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     exchange = world.ask("/a/x")
     quarantine(world, exchange.fingerprint)
     world.links[0].reply(0, NOT_RUN, Reason.QUARANTINED)
@@ -73,7 +73,7 @@
 @on_loop
 async def test_request_that_lost_two_upstreams_is_not_sent_to_a_third():
     """Guards against one attempt that ends every instance of a service."""
-    world = RelayWorld(peers=4, most_upstreams=4)
+    world = RelayHarness(peers=4, most_upstreams=4)
     exchange = world.ask("/a/x")
     for _ in range(4):
         for link, place in world.runs:
@@ -86,7 +86,7 @@
 @on_loop
 async def test_lost_run_is_sent_to_a_second_upstream_beside_other_suspects():
     """Guards against reads that fail whenever an upstream ends by itself."""
-    world = RelayWorld(peers=2, most_upstreams=2)
+    world = RelayHarness(peers=2, most_upstreams=2)
     exchange = world.ask("/a/x")
     world.quarantine.report(1, [exchange.fingerprint])
     [(link, place)] = world.runs
@@ -96,7 +96,7 @@
 
 @on_loop
 async def test_request_let_in_again_crashes_one_upstream_at_most():
-    world = RelayWorld(peers=2, most_upstreams=2)
+    world = RelayHarness(peers=2, most_upstreams=2)
     probe = world.ask("/a/x")
     quarantine(world, probe.fingerprint)
     world.clock.advance(301)
@@ -114,7 +114,7 @@
 
 @on_loop
 async def test_crash_of_the_own_upstream_is_reported_with_its_suspects():
-    world = GateWorld(slots=4)
+    world = GateHarness(slots=4)
     reports = []
     world.gate.crash_detector.on_crash = lambda *report: reports.append(report)
     job, _ = world.submit("r1")
@@ -126,7 +126,7 @@
 
 @on_loop
 async def test_what_this_gate_has_seen_succeed_is_not_reported():
-    world = GateWorld(slots=4)
+    world = GateHarness(slots=4)
     reports = []
     world.gate.crash_detector.on_crash = lambda *report: reports.append(report)
     world.submit("r1")
@@ -141,7 +141,7 @@
 @on_loop
 async def test_run_that_its_caller_gave_up_is_reported_with_the_crash():
     """Guards against a deadly request whose caller never waits for its end."""
-    world = GateWorld(slots=4)
+    world = GateHarness(slots=4)
     reports = []
     world.gate.crash_detector.on_crash = lambda *report: reports.append(report)
     given_up, _ = world.submit("r1")
@@ -156,7 +156,7 @@
 
 def test_quarantined_request_is_not_marked_as_handed_over():
     """Guards against a fence that says of a request that it may have run."""
-    world = GateWorld(slots=4)
+    world = GateHarness(slots=4)
     marked = []
     probe, _ = world.submit("r0")
     quarantine(world, probe.fingerprint)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -8,8 +8,8 @@
 
 from rattanfork_node.http1 import Exchange
 from rattanfork_node.peer import Cancel
-from rattanfork_node.relay import Departure, Job
-from rattanfork_node.relay.tests.fakes import RelayWorld, on_loop
+from rattanfork_node.relay import DrainPolicy, Job
+from rattanfork_node.relay.tests.fakes import RelayHarness, on_loop
 
 ANSWERED, NOT_RUN, UNKNOWN = Outcome.ANSWERED, Outcome.NOT_RUN, Outcome.UNKNOWN
 
@@ -21,7 +21,7 @@
 
 @on_loop
 async def test_an_answer_comes_back_as_it_was_given():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     exchange = world.ask()
     [link] = world.links
     run, _ = link.runs[0]
@@ -33,7 +33,7 @@
 
 @on_loop
 async def test_without_a_route_the_answer_is_404_and_without_instances_503():
-    world = RelayWorld()
+    world = RelayHarness()
     assert world.ask("/none/").output[0] == 404
     status, block, _ = world.ask().output
     assert status == 503
@@ -47,7 +47,7 @@
     The guard is asked over another link; it has handed the posting over, so
     nobody can say how it ended, and it is not sent to anybody else.
     """
-    world = RelayWorld(peers=2, idempotent=False)
+    world = RelayHarness(peers=2, idempotent=False)
     world.pool.verdicts = [FenceVerdict.HANDED_OVER]
     exchange = world.ask()
     [(link, place)] = world.runs
@@ -63,7 +63,7 @@
 
     The guard says so and refuses it from then on, so another may run it.
     """
-    world = RelayWorld(peers=2, idempotent=False)
+    world = RelayHarness(peers=2, idempotent=False)
     world.pool.verdicts = [FenceVerdict.NOT_RUN]
     exchange = world.ask()
     [(link, place)] = world.runs
@@ -77,7 +77,7 @@
 
 @on_loop
 async def test_an_upstreams_own_failure_is_tried_elsewhere_and_else_handed_on():
-    world = RelayWorld(peers=2, most_upstreams=2)
+    world = RelayHarness(peers=2, most_upstreams=2)
     exchange = world.ask()
     [(first, place)] = world.runs
     failed = Reason.UPSTREAM_FAILED
@@ -96,7 +96,7 @@
     A posting is not sent again, so its caller gets the failure.  It must speak
     against the instance, or half of all postings would go on failing there.
     """
-    world = RelayWorld(peers=2, idempotent=False)
+    world = RelayHarness(peers=2, idempotent=False)
     slow = world.links[0]
     sent = {link.peer: 0 for link in world.links}
     for number in range(40):
@@ -113,7 +113,7 @@
 
 @on_loop
 async def test_the_time_of_a_route_ends_a_request_and_its_run():
-    world = RelayWorld(peers=1, timeout=0.03)
+    world = RelayHarness(peers=1, timeout=0.03)
     exchange = world.ask()
     await asyncio.sleep(0.05)
     assert exchange.output[0] == 504
@@ -124,7 +124,7 @@
 
 @on_loop
 async def test_a_caller_that_leaves_ends_its_run():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     exchange = world.ask()
     exchange.on_gone()
     assert [type(m) for m in world.links[0].sent] == [Cancel]
@@ -137,7 +137,7 @@
     A caller's request is refused at once and told when to come back.  A call
     of a run at our own upstream has the rank of that run and still passes.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.ask()
     world.links[0].reply(0, ANSWERED, status=200, cut=2.0)
     exchange = world.ask(request_id="r2")
@@ -155,7 +155,7 @@
     fleet what they shed.  The next request would break there after all other work
     was done, so it is refused at once; one of higher importance is not.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.ask()
     world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
     world.reports.report("deep", 1.5, impaired=False)
@@ -169,7 +169,7 @@
 @on_loop
 async def test_a_call_goes_to_a_gate_that_does_not_shed_it():
     """One of two gates has told the fleet that it sheds; the other has room."""
-    world = RelayWorld(peers=2)
+    world = RelayHarness(peers=2)
     told = GateReports(world.clock, world.links[0].peer)
     told.report("t", 1.0, impaired=False)
     world.reports.hear(told.news())
@@ -181,7 +181,7 @@
 @on_loop
 async def test_the_services_that_a_run_has_reached_are_told_with_its_answer():
     """An upstream calls a service, whose answer tells of one further down."""
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     run, results = world.gate_world.submit("run")
     world.ask("/i/x", request_id="run.0123456789abcdef")
     world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
@@ -191,7 +191,7 @@
 
 @on_loop
 async def test_a_run_that_broke_off_teaches_nothing_of_its_chain():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     run, results = world.gate_world.submit("run")
     world.ask("/i/x", request_id="run.0123456789abcdef")
     world.links[0].reply(0, ANSWERED, status=200)
@@ -205,7 +205,7 @@
 
     The caller gets the upstream's own failure, and no third gate is asked.
     """
-    world = RelayWorld(peers=4, most_upstreams=2)
+    world = RelayHarness(peers=4, most_upstreams=2)
     exchange = world.ask()
     [(first, place)] = world.runs
     failed = Reason.UPSTREAM_FAILED
@@ -226,7 +226,7 @@
 
     Nobody wants the answer of the call either; it is cancelled with the run.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run", deadline=world.clock.now() + 0.3)
     exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
     run, _ = world.links[0].runs[0]
@@ -243,7 +243,7 @@
     The run goes on, for nobody could tell the state it was cut off in.  It can
     only end well if the calls that it has made are not stopped either.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run", idempotent=False)
     exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
     world.gate.cancel(job)
@@ -259,7 +259,7 @@
     if it takes note.  A call that is still wanted is at work elsewhere, and is
     not broken off by a node on its way out.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run")
     exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
     world.gate.leave()
@@ -277,9 +277,9 @@
     Taken, its request would be cut when the node ends.  Refused as not run it
     can go elsewhere.  A call of a run that is still at work is taken.
     """
-    world = RelayWorld(peers=1, timeout=1.0)
+    world = RelayHarness(peers=1, timeout=1.0)
     end = world.clock.now() + 1.5
-    world.relay.leave(Departure(world.clock, end, 0.0))
+    world.relay.drain(DrainPolicy(world.clock, end, 0.0))
     assert world.ask(request_id="r1").output is None
     world.clock.advance(0.6)
     assert world.ask(request_id="r2").output[0] == 503
@@ -295,10 +295,10 @@
     Refused, its clients would come back to the same node in vain.  Later, when
     the node may end at any moment, they are refused.
     """
-    world = RelayWorld(peers=1, timeout=5.0)
+    world = RelayHarness(peers=1, timeout=5.0)
     world.relay.directory.picker("t").subset[0].latency = 0.05
     now = world.clock.now()
-    world.relay.leave(Departure(world.clock, now + 4.0, now + 2.0))
+    world.relay.drain(DrainPolicy(world.clock, now + 4.0, now + 2.0))
     assert world.ask(request_id="r1").output is None
     world.relay.directory.picker("t").subset[0].latency = 1.5
     assert world.ask(request_id="r2").output[0] == 503
@@ -313,7 +313,7 @@
 
     Nothing was sent, so also what may run once goes to another.
     """
-    world = RelayWorld(peers=2, idempotent=False)
+    world = RelayHarness(peers=2, idempotent=False)
     del world.pool.links["p0@b"]
     for _ in range(20):
         world.ask()
@@ -323,7 +323,7 @@
 
 @on_loop
 async def test_the_first_rule_that_holds_decides_before_the_route():
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.accept_rules(
         """
 rules:
@@ -346,7 +346,7 @@
 
 @on_loop
 async def test_a_rule_changes_importance_time_and_attempts():
-    world = RelayWorld(peers=2, timeout=5.0)
+    world = RelayHarness(peers=2, timeout=5.0)
     world.accept_rules(
         """
 rules:
@@ -369,7 +369,7 @@
 @on_loop
 async def test_a_call_of_a_run_is_not_ruled_again():
     """A rule turns callers away while a run that was let in makes its calls."""
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.gate_world.submit("run")
     world.accept_rules("rules: [{name: all, then: {refuse: {retry_after: 1}}}]")
     assert world.ask(request_id="r1").output[0] == 503
@@ -382,7 +382,7 @@
 
     Serving by routes alone would bring back what a rule had turned away.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     world.relay._rules = type(world.rules)()
     assert world.ask().output[0] == 503
 
@@ -393,7 +393,7 @@
 
     The request is not sent to another data centre for that.
     """
-    world = RelayWorld(peers=2)
+    world = RelayHarness(peers=2)
     world.accept_rules("rules: [{name: home, then: {data_centre: dc2}}]")
     exchange = world.ask()
     assert world.runs == []
@@ -407,7 +407,7 @@
     Each that is left in a cycle of references keeps its bodies until the next
     collection, so the memory of a node would grow with its load.
     """
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     gc.collect()
     gc.disable()
     try:
@@ -429,7 +429,7 @@
     runs take 100 ms, it would end as one that may have run, and its caller could
     not try it again.
     """
-    world = RelayWorld(peers=2, idempotent=False, timeout=1.0)
+    world = RelayHarness(peers=2, idempotent=False, timeout=1.0)
     exchange = world.ask()
     [(link, place)] = world.runs
     for state in world.relay.directory.picker("t").subset:
@@ -443,7 +443,7 @@
 @on_loop
 async def test_calls_of_a_run_go_first_once_others_of_it_have_succeeded():
     """Guards against a run that loses all its calls with the last one."""
-    world = RelayWorld(peers=1)
+    world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("r1", rank=2.55)
     for number in range(3):
         world.ask("/i/x", request_id=f"r1.{number}")
--- a/packages/rattanfork-node/rattanfork_node/relay/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/upstream.py
@@ -27,7 +27,7 @@
     slots: int
     born: int = 0
 
-    def continues(self, known: "Upstream") -> bool:
+    def is_same_incarnation(self, known: "Upstream") -> bool:
         """Return whether this is the incarnation that is known already."""
         if self.name != known.name:
             return False
