--- a/bench/confirmations.py
+++ b/bench/confirmations.py
@@ -17,14 +17,14 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import (
-    NEVER,
-    HeldVersions,
+    UNKNOWN_AGE_MS,
+    CachedVersions,
     Member,
     Membership,
     MembershipSettings,
     Send,
-    duty_group,
     encode_gossip,
+    role_holders,
 )
 from rattanfork_core.revision import ConfirmationSchedule
 
@@ -79,9 +79,9 @@
         self.fleet = fleet
         self.random = Random(fleet.random.getrandbits(64))
         clock = fleet.events.clock
-        settings = MembershipSettings(pushes=8, push_interval=TICK)
+        settings = MembershipSettings(push_fanout=8, push_interval=TICK)
         self.view = Membership(clock, self.random, member, settings)
-        self.view.held = self.held
+        self.view.cached_versions = self.held
         self.schedule = ConfirmationSchedule(clock, self.random)
         self.version = 1
         self.newest = 1
@@ -100,11 +100,11 @@
         ):
             events.after(self.random.uniform(0, period), self._every(period, work))
 
-    def held(self) -> HeldVersions:
+    def held(self) -> CachedVersions:
         """Return what datagrams tell."""
         known = self.schedule.confirmed and self.newest == self.version
-        age = int(self.schedule.age * 1000) if known else NEVER
-        return HeldVersions(self.version, 0, age)
+        age = int(self.schedule.age * 1000) if known else UNKNOWN_AGE_MS
+        return CachedVersions(self.version, 0, age)
 
     def tick(self) -> None:
         """Carry the membership on."""
@@ -125,7 +125,7 @@
         if succeeded:
             self.take(store.version)
             told = min(TOLD, len(self.group))
-            self.send(self.view.tell(self.random.sample(self.group, told)))
+            self.send(self.view.ping_members(self.random.sample(self.group, told)))
 
     def follow(self) -> None:
         """Fetch from who told of something newer, then from any peer."""
@@ -141,7 +141,7 @@
             self.newest = max(self.newest, version)
             self.known_at = self.fleet.events.clock.now()
             self.fleet.behind -= 1
-            self.view.hasten()
+            self.view.schedule_push()
 
     def send(self, sends: list[Send]) -> None:
         """Send datagrams."""
@@ -153,13 +153,13 @@
 
     def hear(self, send: Send, sender: "Node") -> None:
         """Take a datagram."""
-        held = send.message.held
+        held = send.message.versions
         if held.configuration > self.version:
             self.teller = sender
         self.newest = max(self.newest, held.configuration)
         older = held.configuration < self.newest or self.newest > self.version
-        if held.confirmed != NEVER and not older:
-            self.schedule.hear(held.confirmed / 1000)
+        if held.confirmation_age_ms != UNKNOWN_AGE_MS and not older:
+            self.schedule.on_confirmation(held.confirmation_age_ms / 1000)
         self.send(self.view.on_message(send.message, sender.view.me.address))
 
     def _every(self, period: float, work: Callable[[], None]) -> Callable[[], None]:
@@ -198,13 +198,13 @@
             [m.name for m in members if m.data_centre == f"dc{centre}"]
             for centre in range(CENTRES)
         ]
-        groups = [duty_group(names, "confirmation", ASKING) for names in centres]
+        groups = [role_holders(names, "confirmation", ASKING) for names in centres]
         asking = {name for group in groups for name in group}
         for node in self.nodes:
             me = node.view.me.name
             node.view.merge(members)
             node.group = sorted(asking - {me})
-            node.schedule.join(len(asking), size, me in asking)
+            node.schedule.set_group(len(asking), size, me in asking)
             node.start()
         away = self.random.sample(members, int(turned_away * size))
         self.store.turned_away = {member.name for member in away}
@@ -246,7 +246,7 @@
             rows.append({"nodes": size, "turned_away": turned_away, **worst})
             print(rows[-1], flush=True)
     node = Fleet(SIZES[0], 0, 0.0).nodes[0]
-    [send] = node.view.tell([node.group[0]])
+    [send] = node.view.ping_members([node.group[0]])
     size = len(encode_gossip(send.message, b"k" * 16))
     result = {"seeds": seeds, "datagram_bytes": size, "worst_of_seeds": rows}
     RESULTS.write_text(json.dumps(result, indent=1) + "\n")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -16,14 +16,14 @@
 from rattanfork_core.clock import ManualClock, MonotonicClock
 from rattanfork_core.hints import HintTable
 from rattanfork_core.membership import (
-    HeldVersions,
+    CachedVersions,
     Member,
     Membership,
     MemberStatus,
     Ping,
     decode_gossip,
     encode_gossip,
-    on_duty,
+    holds_role,
 )
 from rattanfork_core.request import CallResult, Importance, Outcome
 from rattanfork_core.routing import InstancePicker, InstanceState
@@ -91,7 +91,7 @@
 
         names = list(view.members)
         full = encode_gossip(view.tick()[0].message, b"k")
-        while view.pending_rumours:
+        while view.pending_updates:
             view._news()
         clock.advance(5)
         empty = encode_gossip(view.tick()[0].message, b"k")
@@ -102,7 +102,7 @@
                 "tick_us": microseconds(tick, 300),
                 "rumour_us": microseconds(rumour, 2000),
                 "duty_us": microseconds(
-                    lambda names=names: on_duty(names[0], names, "rules", 2), 20
+                    lambda names=names: holds_role(names[0], names, "rules", 2), 20
                 ),
                 "datagram_empty": len(empty),
                 "datagram_six_rumours": len(full),
@@ -243,7 +243,7 @@
 
     packed = msgpack.unpackb(encode_message(call))
     gossip = Ping(
-        1, a_member(1), "x@y", HeldVersions(3), tuple(a_member(i) for i in range(6))
+        1, a_member(1), "x@y", CachedVersions(3), tuple(a_member(i) for i in range(6))
     )
     datagram = encode_gossip(gossip, b"k")
     none: frozenset[str] = frozenset()
--- a/packages/rattanfork-cli/rattanfork_cli/commands/rules.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/rules.py
@@ -51,7 +51,7 @@
         print(f"accepted: revision {record.revision}")
         return
     outcome = result.failure()
-    if outcome.status is CommitStatus.UNSETTLED:
+    if outcome.status is CommitStatus.UNKNOWN:
         raise fail(
             "not settled: the table stopped answering, and the change may be "
             "accepted; see 'rattanfork rules history'",
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/gossip.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/tests/gossip.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.hints import GateReports
-from rattanfork_core.membership import GateNews, encode_gossip
+from rattanfork_core.membership import GateUpdate, encode_gossip
 
 TICK = 0.1
 #: Members told at each tick.
@@ -39,7 +39,7 @@
         if not news:
             return
         for other in self.random.sample(self.nodes, TOLD):
-            self.sent_bytes += len(encode_gossip(GateNews(news), b"key"))
+            self.sent_bytes += len(encode_gossip(GateUpdate(news), b"key"))
             if self.random.random() >= self.lost:
                 other.hear(news)
 
--- a/packages/rattanfork-core/rattanfork_core/membership/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/__init__.py
@@ -1,14 +1,20 @@
 """Who is there: announcements, probes, suspicion and leaving."""
 
 from rattanfork_core.membership.anti_entropy import BucketDigest
-from rattanfork_core.membership.duty import duty_group, on_duty
-from rattanfork_core.membership.held import NEVER, HeldVersions
+from rattanfork_core.membership.cached_versions import UNKNOWN_AGE_MS, CachedVersions
+from rattanfork_core.membership.direct_messages import (
+    DirectMessage,
+    LeaseReply,
+    LeaseRequest,
+    QuotaReply,
+    QuotaRequest,
+)
 from rattanfork_core.membership.member import Member, MemberStatus
 from rattanfork_core.membership.membership import Membership
 from rattanfork_core.membership.messages import (
     Ack,
     CrashUpdate,
-    GateNews,
+    GateUpdate,
     GossipMessage,
     GossipUpdate,
     Ping,
@@ -17,44 +23,38 @@
     decode_gossip,
     encode_gossip,
 )
-from rattanfork_core.membership.requests import (
-    DirectMessage,
-    LeaseReply,
-    LeaseRequest,
-    QuotaReply,
-    QuotaRequest,
-)
-from rattanfork_core.membership.roster import DutyRoster
-from rattanfork_core.membership.rumours import RumourQueue
+from rattanfork_core.membership.role_assignment import RoleAssignment
+from rattanfork_core.membership.roles import holds_role, role_holders
 from rattanfork_core.membership.settings import MembershipSettings
 from rattanfork_core.membership.sync_schedule import SyncSchedule
+from rattanfork_core.membership.update_queue import UpdateQueue
 
 __all__ = [
     "Ack",
     "BucketDigest",
     "CrashUpdate",
     "DirectMessage",
-    "DutyRoster",
+    "RoleAssignment",
     "GossipMessage",
     "GossipUpdate",
-    "HeldVersions",
+    "CachedVersions",
     "LeaseReply",
     "LeaseRequest",
     "Member",
     "MemberStatus",
     "Membership",
     "MembershipSettings",
-    "NEVER",
+    "UNKNOWN_AGE_MS",
     "Ping",
     "PingRequest",
     "QuotaReply",
     "QuotaRequest",
-    "RumourQueue",
+    "UpdateQueue",
     "Send",
     "SyncSchedule",
-    "GateNews",
+    "GateUpdate",
     "decode_gossip",
-    "duty_group",
+    "role_holders",
     "encode_gossip",
-    "on_duty",
+    "holds_role",
 ]
--- a/packages/rattanfork-core/rattanfork_core/membership/held.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
@@ -3,10 +3,10 @@
 from typing import NamedTuple
 
 #: Milliseconds that stand for "never": longer than any node lives.
-NEVER = 1 << 40
+UNKNOWN_AGE_MS = 1 << 40
 
 
-class HeldVersions(NamedTuple):
+class CachedVersions(NamedTuple):
     """What a node holds of the store, and how lately it was seen to be the newest.
 
     Parameters
@@ -16,16 +16,16 @@
         Version of the configuration in force; 0 while there is none.
     rules : int
         Place of the rules in force among all revisions.
-    confirmed : int
+    confirmation_age_ms : int
         Milliseconds since the store held nothing newer, as far as the node knows;
-        :data:`NEVER` if it does not know, or knows of something newer.
+        :data:`UNKNOWN_AGE_MS` if it does not know, or knows of something newer.
 
     Examples
     ========
 
-    >>> HeldVersions.from_fields((7, 2, 350))
-    HeldVersions(configuration=7, rules=2, confirmed=350)
-    >>> HeldVersions.from_fields((7, 2, -1))
+    >>> CachedVersions.from_fields((7, 2, 350))
+    CachedVersions(configuration=7, rules=2, confirmation_age_ms=350)
+    >>> CachedVersions.from_fields((7, 2, -1))
     Traceback (most recent call last):
     ...
     ValueError: malformed versions
@@ -33,10 +33,10 @@
 
     configuration: int = 0
     rules: int = 0
-    confirmed: int = NEVER
+    confirmation_age_ms: int = UNKNOWN_AGE_MS
 
     @classmethod
-    def from_fields(cls, fields: object) -> "HeldVersions":
+    def from_fields(cls, fields: object) -> "CachedVersions":
         """Return what the fields of a datagram say.
 
         Raises
--- a/packages/rattanfork-core/rattanfork_core/membership/requests.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
@@ -16,7 +16,7 @@
 class LeaseReply(NamedTuple):
     """The version held, and the milliseconds since it is known to have been the newest.
 
-    ``age`` is :data:`NEVER` if that was never known.
+    ``age`` is :data:`UNKNOWN_AGE_MS` if that was never known.
     """
 
     number: int
--- a/packages/rattanfork-core/rattanfork_core/membership/membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/membership.py
@@ -7,7 +7,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.membership.anti_entropy import BucketDigest, bucket_of
-from rattanfork_core.membership.held import HeldVersions
+from rattanfork_core.membership.cached_versions import CachedVersions
 from rattanfork_core.membership.member import Member, MemberStatus
 from rattanfork_core.membership.messages import (
     Ack,
@@ -16,9 +16,9 @@
     PingRequest,
     Send,
 )
-from rattanfork_core.membership.pool import RandomPool
-from rattanfork_core.membership.rumours import RumourQueue
+from rattanfork_core.membership.random_pool import RandomPool
 from rattanfork_core.membership.settings import MembershipSettings
+from rattanfork_core.membership.update_queue import UpdateQueue
 
 #: Share of the probes that also go to one of the dead.
 _DEAD_SHARE = 0.1
@@ -97,7 +97,7 @@
         self._members: dict[str, Member] = {}
         self._changed_at: dict[str, float] = {}
         self._digest = BucketDigest([])
-        self._rumours = RumourQueue()
+        self._rumours = UpdateQueue()
         self._living = RandomPool()
         self._dead = RandomPool()
         self._order: list[str] = []
@@ -111,7 +111,7 @@
         self._has_news = False
         self._next_push = clock.now()
         #: What this node holds of the store.
-        self.held: Callable[[], HeldVersions] = HeldVersions
+        self.cached_versions: Callable[[], CachedVersions] = CachedVersions
         #: Told of each member that comes or changes its status, with the status
         #: before; None for one that was not known.
         self.on_status: Callable[[Member, MemberStatus | None], None] = _ignore
@@ -138,7 +138,7 @@
         return self._digest
 
     @property
-    def pending_rumours(self) -> int:
+    def pending_updates(self) -> int:
         """Rumours on their way."""
         return len(self._rumours)
 
@@ -158,18 +158,18 @@
         The news is pushed at once to more than other news is.
         """
         self.update_me(status=MemberStatus.LEAVING)
-        return self._push(_FAR_PUSHES * self._settings.pushes)
+        return self._push(_FAR_PUSHES * self._settings.push_fanout)
 
-    def introduce(self) -> list[Send]:
+    def announce_self(self) -> list[Send]:
         """Tell the others at once that this node is here.
 
         The news is pushed to more than other news is.  A node that waits for
         its next tick may be killed before; with the store away nobody could
         find its successor then, as no other node had ever heard of it.
         """
-        return self._push(_FAR_PUSHES * self._settings.pushes)
+        return self._push(_FAR_PUSHES * self._settings.push_fanout)
 
-    def tell(self, names: Iterable[str]) -> list[Send]:
+    def ping_members(self, names: Iterable[str]) -> list[Send]:
         """Tell some members at once what this node holds of the store."""
         known = (self._members.get(name) for name in names if name != self._me.name)
         return [
@@ -178,12 +178,12 @@
             if member is not None and member.status != MemberStatus.DEAD
         ]
 
-    def bury(self, name: str) -> None:
+    def mark_dead(self, name: str) -> None:
         """Take a member for dead: another process answers at its address."""
         if name != self._me.name:
             self._declare(name, MemberStatus.DEAD)
 
-    def hasten(self) -> None:
+    def schedule_push(self) -> None:
         """Push soon: there is news, such as another revision of the rules."""
         self._has_news = True
 
@@ -197,7 +197,7 @@
             if known is None or member.overrides(known):
                 self._accept(member)
 
-    def records_in(self, buckets: Iterable[int]) -> list[Member]:
+    def records_in_buckets(self, buckets: Iterable[int]) -> list[Member]:
         """Return the records of some buckets of the digest."""
         wanted = set(buckets)
         return [m for m in self._members.values() if bucket_of(m.name) in wanted]
@@ -220,7 +220,7 @@
         if self._has_news and now >= self._next_push:
             self._has_news = False
             self._next_push = now + self._settings.push_interval
-            sends += self._push(self._settings.pushes)
+            sends += self._push(self._settings.push_fanout)
         if now >= self._next_check:
             # Not each tick: while a region is cut off, thousands are suspect.
             self._next_check = now + self._settings.period
@@ -230,7 +230,7 @@
     def on_message(self, message: GossipMessage, source: tuple[str, int]) -> list[Send]:
         """Take in a datagram."""
         self.merge([message.sender])
-        self.merge(message.rumours)
+        self.merge(message.updates)
         if isinstance(message, Ping):
             return self._on_ping(message)
         if isinstance(message, Ack):
@@ -245,7 +245,9 @@
             # The sender does not know that it is thought dead: tell it, so
             # that it refutes.
             self._rumours.add(sender, 2)
-        ack = Ack(ping.number, self._me, self._me.name, self.held(), self._news())
+        ack = Ack(
+            ping.number, self._me, self._me.name, self.cached_versions(), self._news()
+        )
         return [Send(ping.sender.address, ack)]
 
     def _on_ack(self, ack: Ack) -> list[Send]:
@@ -264,7 +266,7 @@
             return []
         number, address = relay
         news = self._news()
-        return [Send(address, Ack(number, self._me, ack.target, ack.held, news))]
+        return [Send(address, Ack(number, self._me, ack.target, ack.versions, news))]
 
     def _on_ping_request(self, request: PingRequest) -> list[Send]:
         target = self._members.get(request.target)
@@ -307,11 +309,13 @@
 
     def _ask_helpers(self, probe: _Probe) -> list[Send]:
         names = (self._me.name, probe.target)
-        count = self._settings.helpers
+        count = self._settings.indirect_probes
         drawn = self._living.sample(self._random, count + len(names))
         helpers = [self._members[n] for n in drawn if n not in names][:count]
         news = self._news()
-        request = PingRequest(probe.number, self._me, probe.target, self.held(), news)
+        request = PingRequest(
+            probe.number, self._me, probe.target, self.cached_versions(), news
+        )
         return [Send(helper.address, request) for helper in helpers]
 
     def _probe_failed(self, probe: _Probe) -> None:
@@ -326,7 +330,7 @@
             self._declare(probe.target, MemberStatus.DEAD)
 
     def _end_suspicions(self, now: float) -> None:
-        periods = self._settings.suspicion * log2(len(self._members) + 2)
+        periods = self._settings.suspicion_multiplier * log2(len(self._members) + 2)
         limit = periods * self._settings.period
         for name, since in list(self._changed_at.items()):
             member = self._members[name]
@@ -334,7 +338,7 @@
                 self._declare(name, MemberStatus.DEAD)
             elif (
                 member.status == MemberStatus.DEAD
-                and now - since > self._settings.forget_after
+                and now - since > self._settings.dead_retention
             ):
                 self._forget(name)
 
@@ -356,14 +360,14 @@
         self._rumours.add(member, len(self._members))
         self._has_news = True
 
-    def some(self, count: int) -> list[Member]:
+    def random_members(self, count: int) -> list[Member]:
         """Return up to so many other members that are not dead, drawn at random."""
         drawn = self._living.sample(self._random, count + 1)
         chosen = [name for name in drawn if name != self._me.name][:count]
         return [self._members[name] for name in chosen]
 
     def _push(self, count: int) -> list[Send]:
-        return [self._ping(member) for member in self.some(count)]
+        return [self._ping(member) for member in self.random_members(count)]
 
     def _put(self, member: Member) -> None:
         known = self._members.get(member.name)
@@ -390,12 +394,12 @@
         self._version += 1
 
     def _news(self) -> tuple[Member, ...]:
-        return self._rumours.take(self._settings.rumours)
+        return self._rumours.take(self._settings.updates_per_datagram)
 
     def _ping(self, target: Member) -> Send:
         self._number += 1
         news = self._news()
-        ping = Ping(self._number, self._me, target.name, self.held(), news)
+        ping = Ping(self._number, self._me, target.name, self.cached_versions(), news)
         return Send(target.address, ping)
 
 
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -7,13 +7,13 @@
 import msgpack
 
 from rattanfork_core.hints import GateReport, ServiceReports
-from rattanfork_core.membership.held import HeldVersions
-from rattanfork_core.membership.member import Member
-from rattanfork_core.membership.requests import (
+from rattanfork_core.membership.cached_versions import CachedVersions
+from rattanfork_core.membership.direct_messages import (
     DIRECT_KINDS,
     DirectMessage,
     direct_message,
 )
+from rattanfork_core.membership.member import Member
 from rattanfork_core.quarantine import CrashReport, SuccessReport
 
 _MAC_BYTES = 12
@@ -29,8 +29,8 @@
     number: int
     sender: Member
     target: str
-    held: HeldVersions
-    rumours: tuple[Member, ...]
+    versions: CachedVersions
+    updates: tuple[Member, ...]
 
 
 class Ack(NamedTuple):
@@ -39,8 +39,8 @@
     number: int
     sender: Member
     target: str
-    held: HeldVersions
-    rumours: tuple[Member, ...]
+    versions: CachedVersions
+    updates: tuple[Member, ...]
 
 
 class PingRequest(NamedTuple):
@@ -49,11 +49,11 @@
     number: int
     sender: Member
     target: str
-    held: HeldVersions
-    rumours: tuple[Member, ...]
+    versions: CachedVersions
+    updates: tuple[Member, ...]
 
 
-class GateNews(NamedTuple):
+class GateUpdate(NamedTuple):
     """Tells what gates have reported, by service; nobody answers it."""
 
     reports: ServiceReports
@@ -67,13 +67,13 @@
 
 
 #: Gossip updates without a reply, which each receiver disseminates.
-GossipUpdate = GateNews | CrashUpdate
+GossipUpdate = GateUpdate | CrashUpdate
 GossipMessage = Ping | Ack | PingRequest
 _KINDS: tuple[type, ...] = (
     Ping,
     Ack,
     PingRequest,
-    GateNews,
+    GateUpdate,
     CrashUpdate,
     *DIRECT_KINDS,
 )
@@ -108,7 +108,7 @@
     ========
 
     >>> me = Member("w1", "b", "claims", "dc1", "127.0.0.1", 1, 2, 8)
-    >>> ping = Ping(1, me, "w2@b", HeldVersions(), ())
+    >>> ping = Ping(1, me, "w2@b", CachedVersions(), ())
     >>> decode_gossip(encode_gossip(ping, b"k"), b"k") == ping
     True
     >>> decode_gossip(b"x" * 40, b"k")
@@ -125,7 +125,7 @@
         message_type = _KINDS[kind]
         if message_type in DIRECT_KINDS:
             return direct_message(message_type, tuple(fields))
-        if message_type is GateNews:
+        if message_type is GateUpdate:
             return _gate_news(*fields)
         if message_type is CrashUpdate:
             reports, successes = fields
@@ -144,15 +144,15 @@
         number,
         Member.from_fields(sender),
         target,
-        HeldVersions.from_fields(held),
+        CachedVersions.from_fields(held),
         tuple(Member.from_fields(rumour) for rumour in rumours[:_MOST_RUMOURS]),
     )
 
 
-def _gate_news(reports: dict) -> GateNews:
+def _gate_news(reports: dict) -> GateUpdate:
     told: dict[str, list[GateReport]] = {}
     for service, several in reports.items():
         if not isinstance(service, str) or len(service) > _LONGEST_NAME:
             raise ValueError("name of a service expected")
         told[service] = [GateReport.from_fields(fields) for fields in several]
-    return GateNews(told)
+    return GateUpdate(told)
--- a/packages/rattanfork-core/rattanfork_core/membership/roster.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
@@ -1,10 +1,10 @@
 """The few nodes of each data centre that do a duty."""
 
-from rattanfork_core.membership.duty import duty_group
 from rattanfork_core.membership.membership import Membership
+from rattanfork_core.membership.roles import role_holders
 
 
-class DutyRoster:
+class RoleAssignment:
     """Who does a duty, by this node's own view of the members.
 
     Parameters
@@ -12,9 +12,9 @@
 
     membership : Membership
         The view.
-    duty : str
+    role : str
         Name of the duty; others fall to other nodes.
-    per_centre : int
+    per_data_centre : int
         Nodes of each data centre that do it.
 
     Examples
@@ -26,15 +26,17 @@
     >>> me = Member("n0", "b", "s", "dc", "127.0.0.1", 1, 2, 8)
     >>> view = Membership(ManualClock(), Random(1), me)
     >>> view.merge([me.replace(instance=f"n{i}") for i in range(1, 9)])
-    >>> roster = DutyRoster(view, "read", 2)
-    >>> len(roster.names), roster.fleet, roster.mine == (me.name in roster.names)
-    (2, 9, True)
+    >>> readers = RoleAssignment(view, "read", 2)
+    >>> len(readers.names), readers.fleet_size
+    (2, 9)
+    >>> readers.includes_self == (me.name in readers.names)
+    True
     """
 
-    def __init__(self, membership: Membership, duty: str, per_centre: int) -> None:
+    def __init__(self, membership: Membership, role: str, per_data_centre: int) -> None:
         self._membership = membership
-        self._duty = duty
-        self._per_centre = per_centre
+        self._duty = role
+        self._per_centre = per_data_centre
         self._version = -1
         self._names: list[str] = []
         self._fleet = 0
@@ -58,12 +60,12 @@
         return [name for name in self.names if name != me]
 
     @property
-    def mine(self) -> bool:
+    def includes_self(self) -> bool:
         """Whether this node does it."""
         return self._membership.me.name in self.names
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """How many nodes there are."""
         self._look()
         return self._fleet
@@ -77,7 +79,7 @@
             centres.setdefault(member.data_centre, []).append(member.name)
         self._fleet = sum(len(names) for names in centres.values())
         groups = (
-            duty_group(names, self._duty, self._per_centre)
+            role_holders(names, self._duty, self._per_centre)
             for names in centres.values()
         )
         self._names = [name for group in groups for name in group]
--- a/packages/rattanfork-core/rattanfork_core/membership/duty.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/roles.py
@@ -6,7 +6,7 @@
 from rattanfork_core.hashing import hash64
 
 
-def on_duty(me: str, members: Iterable[str], duty: str, count: int) -> bool:
+def holds_role(name: str, members: Iterable[str], role: str, count: int) -> bool:
     """Return whether a member is among the few that do a duty.
 
     Explanation
@@ -20,28 +20,28 @@
     ========
 
     >>> names = [f"n{i}" for i in range(50)]
-    >>> sum(on_duty(name, names, "read", 2) for name in names)
+    >>> sum(holds_role(name, names, "read", 2) for name in names)
     2
     """
-    mine = hash64(f"{duty}|{me}")
+    mine = hash64(f"{role}|{name}")
     before = 0
-    for name in members:
-        if name != me and hash64(f"{duty}|{name}") < mine:
+    for other in members:
+        if other != name and hash64(f"{role}|{other}") < mine:
             before += 1
             if before >= count:
                 return False
     return True
 
 
-def duty_group(names: Iterable[str], duty: str, count: int) -> list[str]:
+def role_holders(names: Iterable[str], role: str, count: int) -> list[str]:
     """Return the members that do a duty, in the order in which they are asked to.
 
     Examples
     ========
 
     >>> names = [f"n{i}" for i in range(50)]
-    >>> group = duty_group(names, "read", 2)
-    >>> [name for name in names if on_duty(name, names, "read", 2)] == sorted(group)
+    >>> group = role_holders(names, "read", 2)
+    >>> [name for name in names if holds_role(name, names, "read", 2)] == sorted(group)
     True
     """
-    return nsmallest(count, names, key=lambda name: hash64(f"{duty}|{name}"))
+    return nsmallest(count, names, key=lambda name: hash64(f"{role}|{name}"))
--- a/packages/rattanfork-core/rattanfork_core/membership/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/settings.py
@@ -14,25 +14,25 @@
         Seconds between two probes.
     ack_timeout : float
         Seconds after which others are asked to probe.
-    helpers : int
+    indirect_probes : int
         How many are asked.
-    suspicion : float
+    suspicion_multiplier : float
         Periods a suspect has to answer, times the logarithm of the fleet.
-    rumours : int
+    updates_per_datagram : int
         Most rumours of a datagram.
     push_interval : float
         Least seconds between two pushes of fresh news.
-    pushes : int
+    push_fanout : int
         How many others fresh news is pushed to.
-    forget_after : float
+    dead_retention : float
         Seconds for which the dead are remembered.
     """
 
     period: float = 1.0
     ack_timeout: float = 0.3
-    helpers: int = 2
-    suspicion: float = 1.5
-    rumours: int = 6
+    indirect_probes: int = 2
+    suspicion_multiplier: float = 1.5
+    updates_per_datagram: int = 6
     push_interval: float = 0.2
-    pushes: int = 2
-    forget_after: float = 600.0
+    push_fanout: int = 2
+    dead_retention: float = 600.0
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
@@ -10,10 +10,10 @@
     Member,
     Membership,
     MemberStatus,
-    RumourQueue,
+    UpdateQueue,
     decode_gossip,
     encode_gossip,
-    on_duty,
+    holds_role,
 )
 
 KEY = b"key"
@@ -169,7 +169,7 @@
 
 
 def test_rumours_are_told_a_bounded_number_of_times():
-    queue = RumourQueue()
+    queue = UpdateQueue()
     queue.add(Fleet(1).views[0].me, members=1000)
     told = 0
     while queue.take(6):
@@ -179,9 +179,9 @@
 
 def test_duty_moves_when_its_holder_goes():
     names = [f"n{i}" for i in range(20)]
-    holders = [n for n in names if on_duty(n, names, "read", 2)]
+    holders = [n for n in names if holds_role(n, names, "read", 2)]
     names.remove(holders[0])
-    assert holders[1] in [n for n in names if on_duty(n, names, "read", 2)]
+    assert holders[1] in [n for n in names if holds_role(n, names, "read", 2)]
 
 
 def test_one_of_two_finds_the_other_after_a_long_stop_without_any_help():
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_roster.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_role_assignment.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.membership import DutyRoster, Member, Membership, MemberStatus
+from rattanfork_core.membership import Member, Membership, MemberStatus, RoleAssignment
 
 
 def fleet(size: int, centres: int = 5) -> list[Member]:
@@ -13,30 +13,32 @@
     ]
 
 
-def roster_of(members: list[Member], place: int = 0) -> tuple[DutyRoster, Membership]:
+def roster_of(
+    members: list[Member], place: int = 0
+) -> tuple[RoleAssignment, Membership]:
     view = Membership(ManualClock(), Random(1), members[place])
     view.merge(members)
-    return DutyRoster(view, "read", 4), view
+    return RoleAssignment(view, "read", 4), view
 
 
 def test_the_number_of_readers_depends_on_the_data_centres_only():
     for size in (194, 1000):
         roster, _ = roster_of(fleet(size))
         assert len(roster.names) == 20
-        assert roster.fleet == size
+        assert roster.fleet_size == size
 
 
 def test_in_a_small_fleet_all_are_readers():
     roster, _ = roster_of(fleet(12, centres=3))
     assert len(roster.names) == 12
-    assert roster.mine
+    assert roster.includes_self
 
 
 def test_all_views_name_the_same_readers():
     members = fleet(60)
     rosters = [roster_of(members, place)[0] for place in range(60)]
     assert len({tuple(sorted(roster.names)) for roster in rosters}) == 1
-    assert sum(roster.mine for roster in rosters) == 20
+    assert sum(roster.includes_self for roster in rosters) == 20
 
 
 def test_others_take_over_from_readers_that_are_gone():
@@ -51,4 +53,4 @@
 
 def test_a_node_that_sees_nobody_reads_for_itself():
     roster, _ = roster_of(fleet(1))
-    assert roster.mine
+    assert roster.includes_self
--- a/packages/rattanfork-core/rattanfork_core/membership/rumours.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/update_queue.py
@@ -9,7 +9,7 @@
 _SORTED = 64
 
 
-class RumourQueue:
+class UpdateQueue:
     """Rumours, each told a number of times that grows with the logarithm.
 
     Explanation
@@ -23,7 +23,7 @@
     Examples
     ========
 
-    >>> queue = RumourQueue(multiplier=1)
+    >>> queue = UpdateQueue(multiplier=1)
     >>> a = Member("a", "b", "s", "dc", "127.0.0.1", 1, 2, 8)
     >>> queue.add(a, members=2)
     >>> [m.instance for m in queue.take(6)], len(queue)
--- a/packages/rattanfork-core/rattanfork_core/revision/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/__init__.py
@@ -7,9 +7,9 @@
     ReadRow,
     TryCommit,
 )
-from rattanfork_core.revision.confirmation import ConfirmationSchedule
+from rattanfork_core.revision.confirmation_schedule import ConfirmationSchedule
 from rattanfork_core.revision.lease import ConfigurationLease
-from rattanfork_core.revision.reading import ReadSchedule
+from rattanfork_core.revision.poll_schedule import PollSchedule
 from rattanfork_core.revision.record import RulesRecord
 from rattanfork_core.revision.state import RevisionState
 
@@ -20,7 +20,7 @@
     "ConfigurationLease",
     "ConfirmationSchedule",
     "ReadRow",
-    "ReadSchedule",
+    "PollSchedule",
     "RevisionState",
     "RulesRecord",
     "TryCommit",
--- a/packages/rattanfork-core/rattanfork_core/revision/commit.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/commit.py
@@ -12,7 +12,7 @@
     ACCEPTED = 0
     CONFLICT = 1
     #: The table does not answer: the change may or may not be accepted.
-    UNSETTLED = 2
+    UNKNOWN = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
         """Take note that the table did not answer."""
         self._tries -= 1
         if self._tries <= 0:
-            return CommitOutcome(CommitStatus.UNSETTLED, None)
+            return CommitOutcome(CommitStatus.UNKNOWN, None)
         return self._step
 
     def on_row(self, found: RulesRecord | None) -> CommitStep:
--- a/packages/rattanfork-core/rattanfork_core/revision/confirmation.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
@@ -62,7 +62,7 @@
     >>> clock.advance(1.2)
     >>> schedule.due()
     True
-    >>> schedule.hear(0.1)
+    >>> schedule.on_confirmation(0.1)
     >>> schedule.due(), round(schedule.age, 1)
     (False, 0.1)
 
@@ -100,25 +100,25 @@
         """Seconds since the store held nothing newer, or since the start."""
         return self._clock.now() - self._confirmed_at
 
-    def join(self, group: int, fleet: int, member: bool) -> None:
+    def set_group(self, group_size: int, fleet_size: int, is_member: bool) -> None:
         """Take note of the size of the group that asks, and of the fleet.
 
         Parameters
         ==========
 
-        group : int
+        group_size : int
             Nodes that ask in turn.
-        fleet : int
+        fleet_size : int
             All nodes.
-        member : bool
+        is_member : bool
             Whether this node is one of the group.
         """
-        self._group = max(1, group)
-        outside = _OUTSIDE_WAIT + _OUTSIDE_STEP * log2(max(1, fleet))
-        self._outside_wait = None if member else outside
+        self._group = max(1, group_size)
+        outside = _OUTSIDE_WAIT + _OUTSIDE_STEP * log2(max(1, fleet_size))
+        self._outside_wait = None if is_member else outside
         self._wait = self._draw()
 
-    def hear(self, age: float) -> None:
+    def on_confirmation(self, age: float) -> None:
         """Take note that the store held nothing newer some seconds ago."""
         at = self._clock.now() - age
         if not self._confirmed or at > self._confirmed_at:
@@ -126,7 +126,7 @@
             self._confirmed_at = at
             self._wait = self._draw()
 
-    def hasten(self) -> None:
+    def schedule_now(self) -> None:
         """Ask as soon as no failure forbids it."""
         self._wait = 0.0
 
@@ -150,7 +150,7 @@
         self._under_way = False
         if succeeded:
             self._pause = _FIRST_PAUSE
-            self.hear(self._clock.now() - self._begun_at)
+            self.on_confirmation(self._clock.now() - self._begun_at)
             return
         self._not_before = self._clock.now() + self._pause * self._random.uniform(
             0.7, 1.3
--- a/packages/rattanfork-core/rattanfork_core/revision/lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/lease.py
@@ -43,7 +43,7 @@
 
     A peer's proof was a second old when it replied to a request made just now:
 
-    >>> number = lease.ask()
+    >>> number = lease.start_request()
     >>> clock.advance(0.5)
     >>> lease.on_reply(number, 1.0)
     True
@@ -76,7 +76,7 @@
         """Take note that the store, asked at a time, held nothing newer."""
         self._confirmed_at = max(self._confirmed_at, asked_at)
 
-    def ask(self) -> int:
+    def start_request(self) -> int:
         """Take note of a request to a peer; return its number."""
         self._number += 1
         self._asked[self._number] = self._clock.now()
--- a/packages/rattanfork-core/rattanfork_core/revision/reading.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
@@ -5,7 +5,7 @@
 from rattanfork_core.clock import Clock
 
 
-class ReadSchedule:
+class PollSchedule:
     """Spaces the reads of one node; at most one is under way.
 
     Explanation
@@ -20,7 +20,7 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> schedule = ReadSchedule(clock, Random(1), interval=0.5)
+    >>> schedule = PollSchedule(clock, Random(1), interval=0.5)
     >>> schedule.due()
     True
     >>> schedule.begin(); schedule.due()
@@ -36,12 +36,12 @@
         clock: Clock,
         random: Random,
         interval: float = 0.5,
-        longest: float = 5.0,
+        max_interval: float = 5.0,
     ) -> None:
         self._clock = clock
         self._random = random
         self._interval = interval
-        self._longest = longest
+        self._longest = max_interval
         self._pause = interval
         self._next = clock.now()
         self._under_way = False
@@ -63,6 +63,6 @@
             self._pause = min(self._longest, 2 * self._pause)
         self._next = self._clock.now() + self._pause * self._random.uniform(0.8, 1.2)
 
-    def hasten(self) -> None:
+    def schedule_now(self) -> None:
         """Read as soon as possible: there is news."""
         self._next = min(self._next, self._clock.now())
--- a/packages/rattanfork-core/rattanfork_core/revision/state.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/state.py
@@ -35,15 +35,15 @@
 
     >>> state = RevisionState(data_centres_needed=2)
     >>> text = "rules: [{name: a, then: {importance: high}}]"
-    >>> state.hear_from_peer("dc1", RulesRecord(2, "op", "ann", "", text))
+    >>> state.receive_from_peer("dc1", RulesRecord(2, "op", "ann", "", text))
     True
     >>> state.ready
     False
-    >>> state.hear_from_peer("dc2", None)
+    >>> state.receive_from_peer("dc2", None)
     False
     >>> state.ready, state.revision
     (True, 2)
-    >>> state.hear_from_store(RulesRecord(1, "op", "ann", "", "rules: []"))
+    >>> state.receive_from_store(RulesRecord(1, "op", "ann", "", "rules: []"))
     False
     """
 
@@ -81,7 +81,7 @@
         """Whether the node may take work."""
         return self._ready
 
-    def hear_from_store(
+    def receive_from_store(
         self, record: RulesRecord | None, rules: RuleSet | None = None
     ) -> bool:
         """Take in what the table holds; return whether the rules changed.
@@ -92,7 +92,7 @@
         self._ready = True
         return self._offer(record, rules)
 
-    def hear_from_peer(
+    def receive_from_peer(
         self,
         data_centre: str,
         record: RulesRecord | None,
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
@@ -34,7 +34,7 @@
             for n in range(size)
         ]
         for schedule in self.schedules:
-            schedule.join(size, size, member=True)
+            schedule.set_group(size, size, is_member=True)
         #: Where each node is in its tick.
         self.offsets = [self.random.uniform(0, _TICK) for _ in range(size)]
         self.cut_off: set[int] = set()
@@ -71,7 +71,7 @@
                         if other != node
                     ]
             else:
-                schedule.hear(_QUESTION + _CROSSING)
+                schedule.on_confirmation(_QUESTION + _CROSSING)
 
 
 @pytest.mark.parametrize("size", [1, 3, 12, 20, 60])
@@ -113,7 +113,7 @@
     for seconds, what in events:
         clock.advance(seconds)
         if what == "hear":
-            schedule.hear(seconds)
+            schedule.on_confirmation(seconds)
         elif schedule.due():
             schedule.begin()
             schedule.end(what == "yes")
@@ -125,8 +125,8 @@
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     clock.advance(0.5)
-    schedule.hear(0.1)
-    schedule.hear(30.0)
+    schedule.on_confirmation(0.1)
+    schedule.on_confirmation(30.0)
     assert schedule.age == pytest.approx(0.1)
 
 
@@ -136,7 +136,7 @@
     schedule = ConfirmationSchedule(clock, Random(1))
     clock.advance(0.1)
     assert not schedule.confirmed
-    schedule.hear(0.4)
+    schedule.on_confirmation(0.4)
     assert schedule.confirmed
     assert schedule.age == pytest.approx(0.4)
 
@@ -145,8 +145,8 @@
     """Of 17,000 nodes, sixty ask; the others would ask too if all were in turn."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
-    schedule.join(60, 17_000, member=False)
-    schedule.hear(0.0)
+    schedule.set_group(60, 17_000, is_member=False)
+    schedule.on_confirmation(0.0)
     clock.advance(6.0)
     assert not schedule.due()
     clock.advance(3.5)
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
@@ -10,7 +10,7 @@
     """Guards against a datagram that waited while the node stood still."""
     clock = ManualClock(100.0)
     lease = ConfigurationLease(clock)
-    number = lease.ask()
+    number = lease.start_request()
     clock.advance(8.0)
     assert lease.on_reply(number, 0.1)
     assert round(lease.age, 3) == 8.1
@@ -24,7 +24,7 @@
 
 def test_reply_counts_once():
     lease = ConfigurationLease(ManualClock(100.0))
-    number = lease.ask()
+    number = lease.start_request()
     assert lease.on_reply(number, 1.0)
     assert not lease.on_reply(number, 0.0)
 
@@ -67,7 +67,7 @@
             clock.advance(seconds)
             leases[node].confirm(asked_at)
         elif kind == "ask":
-            requests.append((node, other, leases[node].ask()))
+            requests.append((node, other, leases[node].start_request()))
         elif kind == "deliver" and requests:
             asker, peer, number = requests.pop(other % len(requests))
             version, age = held[peer], leases[peer].age
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
@@ -100,7 +100,7 @@
         assert mine.record.operation == "theirs"
     if theirs and theirs[0].record and theirs[0].record.revision == 1:
         assert told.count(CommitStatus.ACCEPTED) == 1 or (
-            mine.status is CommitStatus.UNSETTLED
+            mine.status is CommitStatus.UNKNOWN
         )
 
 
@@ -119,9 +119,9 @@
     for source, record in news:
         before = state.revision
         if source == "store":
-            state.hear_from_store(record)
+            state.receive_from_store(record)
         else:
-            state.hear_from_peer(source, record)
+            state.receive_from_peer(source, record)
         highest = max(highest, record.revision if record else 0)
         assert state.revision >= before
     assert state.revision == highest
@@ -132,9 +132,9 @@
     state = RevisionState(data_centres_needed=2)
     for source, record in news:
         if source == "store":
-            state.hear_from_store(record)
+            state.receive_from_store(record)
         else:
-            state.hear_from_peer(source, record)
+            state.receive_from_peer(source, record)
     sources = {source for source, _ in news}
     assert state.ready == ("store" in sources or sources >= {"dc1", "dc2"})
 
@@ -155,9 +155,9 @@
     before = 0
     for number, record in enumerate(received):
         if number % 2:
-            state.hear_from_store(record)
+            state.receive_from_store(record)
         else:
-            state.hear_from_peer("dc1", record)
+            state.receive_from_peer("dc1", record)
         assert state.order >= before
         before = state.order
     assert state.record == max(
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -9,7 +9,7 @@
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.hints import HintTable
-from rattanfork_core.membership import HeldVersions, Member, Membership, MemberStatus
+from rattanfork_core.membership import CachedVersions, Member, Membership, MemberStatus
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.settings import NodeSettings
 from rattanfork_platform.http import HttpPlatform
@@ -102,7 +102,9 @@
             ready=False,
         )
         self._membership = Membership(self._clock, self._random, me)
-        self._membership.held = lambda: HeldVersions(rules=self._rules.order)
+        self._membership.cached_versions = lambda: CachedVersions(
+            rules=self._rules.order
+        )
         self._guard = Guard(
             self._clock,
             settings.instance,
@@ -154,7 +156,7 @@
             settings.rules,
             self._counters,
             lambda: self._member.newest_rules,
-            self._membership.hasten,
+            self._membership.schedule_push,
         )
         self._metrics = Metrics(
             settings.instance,
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -180,7 +180,7 @@
             self._clock,
             self._random,
             me,
-            MembershipSettings(pushes=_PUSHES, push_interval=_TICK),
+            MembershipSettings(push_fanout=_PUSHES, push_interval=_TICK),
         )
         self._reports = GateReports(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from rattanfork_core.clock import BootClock, Clock
-from rattanfork_core.membership import DutyRoster, HeldVersions, Membership
+from rattanfork_core.membership import CachedVersions, Membership, RoleAssignment
 from rattanfork_core.revision import (
     ConfigurationLease,
     ConfirmationSchedule,
@@ -80,7 +80,7 @@
     ) -> None:
         self._configuration = configuration
         self._rules = rules
-        roster = DutyRoster(membership, "confirmation", _READERS)
+        roster = RoleAssignment(membership, "confirmation", _READERS)
         self._join = JoinTask(random, platform, membership, member_task, on_quarantine)
         self._configuration_task = ConfigurationTask(
             clock,
@@ -92,7 +92,7 @@
             member_task,
             pool,
             counters,
-            lambda: roster.mine,
+            lambda: roster.includes_self,
             lease,
         )
         self._rules_watch = RulesWatch(
@@ -104,7 +104,7 @@
             counters,
             lambda: member_task.newest_rules,
             lambda: member_task.rules_teller,
-            lambda: roster.mine,
+            lambda: roster.includes_self,
         )
         self._confirmation = ConfirmationTask(
             random,
@@ -127,7 +127,7 @@
         self._restore = RestoreTask(
             random, platform, roster, membership, rules, persist_quarantine, counters
         )
-        membership.held = self._held
+        membership.cached_versions = self._held
         member_task.on_held = self._confirmation.hear
 
     @property
@@ -160,8 +160,8 @@
         self._restore.close()
         self._join.close()
 
-    def _held(self) -> HeldVersions:
-        return HeldVersions(
+    def _held(self) -> CachedVersions:
+        return CachedVersions(
             self._configuration.version,
             self._rules.order,
             self._confirmation.confirmed_ms(),
--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -180,7 +180,7 @@
             log_change(
                 "configuration_in_force", version=self._holder.version, source=source
             )
-            self._membership.hasten()
+            self._membership.schedule_push()
         return changed
 
     def _note_store(self, answers: bool, error: str) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from rattanfork_core.membership import NEVER, DutyRoster, HeldVersions
+from rattanfork_core.membership import UNKNOWN_AGE_MS, CachedVersions, RoleAssignment
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_platform import PlatformDownError
 
@@ -33,7 +33,7 @@
         Source of the choice whom to tell.
     schedule : ConfirmationSchedule
         When to ask.
-    roster : DutyRoster
+    roster : RoleAssignment
         Who asks in turn.
     member_task : MemberTask
         Tells others, and hears them.
@@ -47,7 +47,7 @@
         self,
         random: Random,
         schedule: ConfirmationSchedule,
-        roster: DutyRoster,
+        roster: RoleAssignment,
         member_task: MemberTask,
         followers: Sequence[Follower],
         counters: Counters,
@@ -78,14 +78,14 @@
 
     def hasten(self) -> None:
         """Ask the store soon, whoever else has asked."""
-        self._schedule.hasten()
+        self._schedule.schedule_now()
 
     def confirmed_ms(self) -> int:
         """Return what others are told of the age, in milliseconds."""
         known = self._schedule.confirmed and not self._behind()
-        return int(self._schedule.age * 1000) if known else NEVER
+        return int(self._schedule.age * 1000) if known else UNKNOWN_AGE_MS
 
-    def hear(self, held: HeldVersions) -> None:
+    def hear(self, held: CachedVersions) -> None:
         """Take in what another node holds."""
         task = self._member_task
         older = (
@@ -94,12 +94,16 @@
         )
         # A word about something older says nothing of the newest; and who is
         # behind asks for itself until it has what the others hold.
-        if held.confirmed != NEVER and not older and not self._behind():
-            self._schedule.hear(held.confirmed / 1000)
+        if (
+            held.confirmation_age_ms != UNKNOWN_AGE_MS
+            and not older
+            and not self._behind()
+        ):
+            self._schedule.on_confirmation(held.confirmation_age_ms / 1000)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_TICK if self._roster.mine else _OUTSIDE_TICK)
+            await asyncio.sleep(_TICK if self._roster.includes_self else _OUTSIDE_TICK)
             self._note_age()
             if self._roster.version != self._view:
                 self._regroup()
@@ -130,7 +134,9 @@
     def _regroup(self) -> None:
         roster = self._roster
         self._view = roster.version
-        self._schedule.join(len(roster.names), roster.fleet, roster.mine)
+        self._schedule.set_group(
+            len(roster.names), roster.fleet_size, roster.includes_self
+        )
 
     def _note_age(self) -> None:
         confirmed = self._schedule.age < _UNCONFIRMED
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -5,12 +5,12 @@
 from random import Random
 
 from rattanfork_core.membership import (
-    NEVER,
-    DutyRoster,
+    UNKNOWN_AGE_MS,
     LeaseReply,
     LeaseRequest,
     Member,
     Membership,
+    RoleAssignment,
 )
 from rattanfork_core.revision import ConfigurationLease
 
@@ -51,7 +51,7 @@
         The configuration in force.
     membership : Membership
         Who is there.
-    roster : DutyRoster
+    roster : RoleAssignment
         Who asks the store in turn.
     member_task : MemberTask
         Sends and receives datagrams.
@@ -65,7 +65,7 @@
         lease: ConfigurationLease,
         configuration: ConfigurationHolder,
         membership: Membership,
-        roster: DutyRoster,
+        roster: RoleAssignment,
         member_task: MemberTask,
         ask_store: Callable[[], None],
     ) -> None:
@@ -91,13 +91,13 @@
     def on_reported(self, sender: Member, age: int) -> None:
         """Take note of the age of a peer's proof, in milliseconds."""
         proven_at = self._lease.now() - age / 1000
-        if age != NEVER and proven_at > self._proven_at:
+        if age != UNKNOWN_AGE_MS and proven_at > self._proven_at:
             self._freshest, self._proven_at = sender, proven_at
 
     def on_request(self, request: LeaseRequest, address: tuple[str, int]) -> None:
         """Reply with the age of the own proof."""
         age = self._lease.age
-        milliseconds = ceil(age * 1000) if isfinite(age) else NEVER
+        milliseconds = ceil(age * 1000) if isfinite(age) else UNKNOWN_AGE_MS
         version = self._configuration.version
         self._member_task.send(
             LeaseReply(request.number, version, milliseconds), address
@@ -108,7 +108,7 @@
         if reply.version > self._configuration.version:
             # The peer's proof is of a configuration that is not held here yet.
             self._member_task.note_configuration(reply.version)
-        elif reply.age != NEVER and self._lease.on_reply(
+        elif reply.age != UNKNOWN_AGE_MS and self._lease.on_reply(
             reply.number, reply.age / 1000
         ):
             self.on_renewed()
@@ -128,9 +128,11 @@
             self._urgent = False
             self._next_request = now + _PAUSE * self._random.uniform(0.8, 1.2)
             for member in self._peers(now - age):
-                number = self._lease.ask()
+                number = self._lease.start_request()
                 self._member_task.send(LeaseRequest(number), member.address)
-        asks_after = _READER_ASKS_AFTER if self._roster.mine else _OTHER_ASKS_AFTER
+        asks_after = (
+            _READER_ASKS_AFTER if self._roster.includes_self else _OTHER_ASKS_AFTER
+        )
         if age > asks_after and now >= self._next_store:
             self._next_store = now + self._random.uniform(0.5, 1.5)
             self._ask_store()
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -5,7 +5,7 @@
 from itertools import islice
 from random import Random
 
-from rattanfork_core.membership import DutyRoster, Member, Membership
+from rattanfork_core.membership import Member, Membership, RoleAssignment
 from rattanfork_core.revision import RevisionState, RulesRecord, TryCommit
 from rattanfork_core.revision.record import HEAD_KEY
 from rattanfork_platform import PlatformDownError, WatchedPlatform
@@ -44,7 +44,7 @@
         Source of jitter.
     platform : WatchedPlatform
         The store.
-    roster : DutyRoster
+    roster : RoleAssignment
         Who reads the store in turn.
     membership : Membership
         Who is there.
@@ -60,7 +60,7 @@
         self,
         random: Random,
         platform: WatchedPlatform,
-        roster: DutyRoster,
+        roster: RoleAssignment,
         membership: Membership,
         rules: RevisionState,
         persist_quarantine: Callable[[], Awaitable[None]],
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watch.py
@@ -132,16 +132,16 @@
     async def _take(self, rows: Rows) -> bool:
         head = rows.rows.get(_HEAD)
         if head is None:
-            self._state.hear_from_store(None)
+            self._state.receive_from_store(None)
             return False
         newest = self._read_record(head.value)
         if newest is None:
             # Written by somebody else: what is in force stays, and a node that
             # starts serves by the routes instead of waiting for ever.
-            self._state.hear_from_store(None)
+            self._state.receive_from_store(None)
             return False
         if newest.order <= self._state.order:
-            self._state.hear_from_store(None)
+            self._state.receive_from_store(None)
             return False
         key = history_key(newest.revision)
         text: Row | None = rows.rows.get(key.partition("/")[2])
@@ -195,13 +195,13 @@
     ) -> bool:
         try:
             if source == "store":
-                changed = self._state.hear_from_store(record)
+                changed = self._state.receive_from_store(record)
             else:
-                changed = self._state.hear_from_peer(data_centre, record)
+                changed = self._state.receive_from_peer(data_centre, record)
         except ValueError as error:
             self._note_malformed(source, error)
             return False
         if changed:
             log_change("rules_in_force", revision=self._state.revision, source=source)
-            self._membership.hasten()
+            self._membership.schedule_push()
         return changed
--- a/packages/rattanfork-node/rattanfork_node/config/task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/task.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.membership import Member, Membership, on_duty
-from rattanfork_core.revision import ReadSchedule, RevisionState, RulesRecord
+from rattanfork_core.membership import Member, Membership, holds_role
+from rattanfork_core.revision import PollSchedule, RevisionState, RulesRecord
 from rattanfork_core.revision.record import HEAD_KEY, history_key
 from rattanfork_core.rules import FindingsError, RuleSet, load_rules
 from rattanfork_core.settings import RulesSettings
@@ -77,8 +77,8 @@
         self._counters = counters
         self._newest = newest
         self._on_changed = on_changed
-        self._reads = ReadSchedule(clock, random, settings.read_interval)
-        self._asks = ReadSchedule(clock, random, _ASK_INTERVAL, longest=1.0)
+        self._reads = PollSchedule(clock, random, settings.read_interval)
+        self._asks = PollSchedule(clock, random, _ASK_INTERVAL, max_interval=1.0)
         self._background: set[asyncio.Task] = set()
 
     def tick(self) -> None:
@@ -94,7 +94,7 @@
 
     def hasten(self) -> None:
         """Read the table now: an operator has just changed it."""
-        self._reads.hasten()
+        self._reads.schedule_now()
         if self._platform is not None and self._reads.due():
             self._reads.begin()
             self._start(self._read_table())
@@ -116,14 +116,14 @@
             for m in self._membership.present()
             if m.data_centre == me.data_centre
         )
-        return on_duty(me.name, same, "rules", self._settings.readers)
+        return holds_role(me.name, same, "rules", self._settings.readers)
 
     async def _read_table(self) -> None:
         succeeded = False
         try:
             record = await self._newer_in_table()
             rules = await self._load(record)
-            self._took(self._state.hear_from_store(record, rules), "table")
+            self._took(self._state.receive_from_store(record, rules), "table")
             succeeded = True
         except PlatformDownError:
             self._counters.events["table.unanswered"] += 1
@@ -184,7 +184,7 @@
         # Without text it is the revision this node holds already.
         newer = record if reply.text else None
         rules = await self._load(newer)
-        self._took(self._state.hear_from_peer(data_centre, newer, rules), "peer")
+        self._took(self._state.receive_from_peer(data_centre, newer, rules), "peer")
 
     def _took(self, changed: bool, source: str) -> None:
         if changed:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from rattanfork_core.clock import MonotonicClock
-from rattanfork_core.membership import DutyRoster, Membership
+from rattanfork_core.membership import Membership, RoleAssignment
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_core.routes import Configuration
 
@@ -53,7 +53,7 @@
         self.confirmation = ConfirmationTask(
             Random(1),
             ConfirmationSchedule(MonotonicClock(), Random(1)),
-            DutyRoster(self.membership, "confirmation", 4),
+            RoleAssignment(self.membership, "confirmation", 4),
             self.heard,
             self.followers,
             self.counters,
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -5,7 +5,12 @@
 
 import pytest
 from rattanfork_core.clock import ManualClock, MonotonicClock
-from rattanfork_core.membership import NEVER, DutyRoster, HeldVersions, Membership
+from rattanfork_core.membership import (
+    UNKNOWN_AGE_MS,
+    CachedVersions,
+    Membership,
+    RoleAssignment,
+)
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_platform import PlatformDownError
 
@@ -60,7 +65,7 @@
         self.task = ConfirmationTask(
             Random(1),
             ConfirmationSchedule(self.clock, Random(1)),
-            DutyRoster(self.membership, "confirmation", 4),
+            RoleAssignment(self.membership, "confirmation", 4),
             self.heard,
             (self.held, self.other),
             self.counters,
@@ -70,7 +75,7 @@
         heard = self.heard
         heard.newest_configuration = max(heard.newest_configuration, configuration)
         heard.newest_rules = max(heard.newest_rules, rules)
-        self.task.hear(HeldVersions(configuration, rules, confirmed))
+        self.task.hear(CachedVersions(configuration, rules, confirmed))
 
 
 def test_a_word_about_the_newest_makes_ones_own_younger():
@@ -89,7 +94,7 @@
     """
     world = World()
     world.clock.advance(0.5)
-    assert world.task.confirmed_ms() == NEVER
+    assert world.task.confirmed_ms() == UNKNOWN_AGE_MS
     world.hear(configuration=7, confirmed=200)
     assert world.task.confirmed_ms() == 200
 
@@ -101,10 +106,10 @@
     """
     world = World()
     world.clock.advance(5.0)
-    world.hear(configuration=8, confirmed=NEVER)
+    world.hear(configuration=8, confirmed=UNKNOWN_AGE_MS)
     world.hear(configuration=7, confirmed=0)
     assert world.task.age == 5.0
-    world.hear(configuration=8, rules=2, confirmed=NEVER)
+    world.hear(configuration=8, rules=2, confirmed=UNKNOWN_AGE_MS)
     world.hear(configuration=8, rules=1, confirmed=0)
     assert world.task.age == 5.0
 
@@ -116,7 +121,7 @@
     world.held.is_behind = True
     world.hear(configuration=8, confirmed=100)
     assert world.task.age == 5.0
-    assert world.task.confirmed_ms() == NEVER
+    assert world.task.confirmed_ms() == UNKNOWN_AGE_MS
 
 
 def play(world: World, holds) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
@@ -6,11 +6,11 @@
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import (
-    NEVER,
-    DutyRoster,
+    UNKNOWN_AGE_MS,
     LeaseReply,
     LeaseRequest,
     Membership,
+    RoleAssignment,
 )
 from rattanfork_core.revision import ConfigurationLease
 from rattanfork_core.routes import Configuration
@@ -58,7 +58,7 @@
             self.lease,
             holder,
             membership,
-            DutyRoster(membership, "confirmation", 4),
+            RoleAssignment(membership, "confirmation", 4),
             self.member_task,
             self._ask_store,
         )
@@ -116,7 +116,7 @@
     node = Node()
     node.run(0.1)
     request, _ = node.requests[0]
-    node.task.on_reply(LeaseReply(request.number, 5, NEVER), ("127.0.0.1", 1))
+    node.task.on_reply(LeaseReply(request.number, 5, UNKNOWN_AGE_MS), ("127.0.0.1", 1))
     assert node.lease.age == float("inf")
 
 
@@ -127,7 +127,7 @@
     node.clock.advance(0.25)
     node.task.on_request(LeaseRequest(4), ("127.0.0.1", 9))
     replies = [message for message, _ in node.member_task.sent]
-    assert replies == [LeaseReply(3, 5, NEVER), LeaseReply(4, 5, 250)]
+    assert replies == [LeaseReply(3, 5, UNKNOWN_AGE_MS), LeaseReply(4, 5, 250)]
 
 
 def test_store_is_asked_only_if_peers_have_no_proof():
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -8,10 +8,10 @@
 import orjson
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import (
-    DutyRoster,
     Membership,
     MemberStatus,
-    duty_group,
+    RoleAssignment,
+    role_holders,
 )
 from rattanfork_core.revision import RevisionState, RulesRecord
 from rattanfork_core.revision.record import HEAD_KEY
@@ -78,7 +78,7 @@
         platform: RestoredPlatform | None = None,
     ) -> None:
         members = [member(f"n{number}") for number in range(others + 1)]
-        turns = duty_group([m.name for m in members], "confirmation", readers)
+        turns = role_holders([m.name for m in members], "confirmation", readers)
         me = next(m for m in members if m.name == turns[turn])
         self.platform = platform or RestoredPlatform()
         self.membership = Membership(ManualClock(), Random(1), me)
@@ -91,7 +91,7 @@
         self.task = RestoreTask(
             Random(1),
             self.platform,
-            DutyRoster(self.membership, "confirmation", readers),
+            RoleAssignment(self.membership, "confirmation", readers),
             self.membership,
             self.rules,
             self.keep,
@@ -172,7 +172,7 @@
         World(others=299, turn=n, readers=20, platform=platform) for n in range(20)
     ]
     for world in worlds:
-        world.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+        world.rules.receive_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
         world.task.start()
     await asyncio.sleep(0.05)
     platform.present_era += 1
@@ -235,7 +235,7 @@
 @fast
 async def test_rules_in_force_are_written_where_the_copy_has_older_ones():
     world = World()
-    world.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+    world.rules.receive_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
     world.platform.write(HEAD_KEY, RulesRecord(1, "op1", "ann", "", "", 1).as_row())
     await world.restore()
     await until(lambda: "rules/history/00000002" in world.platform.rows)
@@ -247,7 +247,7 @@
 async def test_rules_accepted_after_the_restore_are_not_overwritten():
     """Guards against losing an accepted change whose number was used before."""
     world = World()
-    world.rules.hear_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
+    world.rules.receive_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
     accepted = RulesRecord(5, "op5", "ann", "", "", era=2).as_row()
     world.platform.write(HEAD_KEY, accepted)
     await world.restore()
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_news.py
@@ -1,7 +1,7 @@
 """Tells the fleet how this node's gate fares, and passes on what others tell."""
 
 from rattanfork_core.hints import MOST_REPORTERS, GateReports
-from rattanfork_core.membership import GateNews, Member, Membership, duty_group
+from rattanfork_core.membership import GateUpdate, Member, Membership, role_holders
 
 from rattanfork_node.member.task import MemberTask
 from rattanfork_node.relay.gate import Gate
@@ -52,7 +52,7 @@
             self._report()
         told = self._reports.news()
         if told:
-            self._member_task.pass_on(GateNews(told), _TOLD)
+            self._member_task.pass_on(GateUpdate(told), _TOLD)
 
     def _report(self) -> None:
         gate = self._gate
@@ -67,7 +67,7 @@
         self._view = self._membership.version
         me = self._membership.me
         names = [m.name for m in self._membership.present() if _serves(m, me.service)]
-        reporters = duty_group(names, "thresholds", MOST_REPORTERS)
+        reporters = role_holders(names, "thresholds", MOST_REPORTERS)
         self._tells_threshold = me.name in reporters
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -13,7 +13,7 @@
     MemberStatus,
     QuotaReply,
     QuotaRequest,
-    duty_group,
+    role_holders,
 )
 from rattanfork_core.quota import (
     QuotaBound,
@@ -216,7 +216,7 @@
     centres: dict[str, list[str]] = {}
     for instance, member in members.items():
         centres.setdefault(member.data_centre, []).append(instance)
-    chosen = (duty_group(names, "quota", _ISSUERS) for names in centres.values())
+    chosen = (role_holders(names, "quota", _ISSUERS) for names in centres.values())
     return {name: members[name] for names in chosen for name in names}
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/task.py
@@ -7,11 +7,11 @@
 from rattanfork_core.clock import Clock
 from rattanfork_core.hints import ServiceReports
 from rattanfork_core.membership import (
+    CachedVersions,
     CrashUpdate,
     DirectMessage,
-    GateNews,
+    GateUpdate,
     GossipUpdate,
-    HeldVersions,
     Member,
     Membership,
     Send,
@@ -78,7 +78,7 @@
         self.configuration_teller: Member | None = None
         self.rules_teller: Member | None = None
         #: Told what the sender of each datagram holds.
-        self.on_held: Callable[[HeldVersions], None] = _ignore
+        self.on_held: Callable[[CachedVersions], None] = _ignore
         #: Told who sent it, and how many milliseconds ago it was confirmed there.
         self.on_confirmed: Callable[[Member, int], None] = _ignore_two
         #: Take requests and replies of other nodes, by their type.
@@ -117,11 +117,11 @@
 
     def introduce(self) -> None:
         """Tell the others that this node is here."""
-        self._send_all(self._membership.introduce())
+        self._send_all(self._membership.announce_self())
 
     def tell(self, names: Iterable[str]) -> None:
         """Tell some members at once what this node holds of the store."""
-        self._send_all(self._membership.tell(names))
+        self._send_all(self._membership.ping_members(names))
 
     def leave(self) -> None:
         """Tell the others that this node takes no new work."""
@@ -134,7 +134,7 @@
         except ValueError:
             self._counters.events["gossip.refused"] += 1
             return
-        if isinstance(message, GateNews):
+        if isinstance(message, GateUpdate):
             self.on_reports(message.reports)
             return
         if isinstance(message, CrashUpdate):
@@ -144,13 +144,13 @@
         if direct is not None:
             direct(message, addr)
             return
-        self._hear(message.sender, message.held)
+        self._hear(message.sender, message.versions)
         self._send_all(self._membership.on_message(message, addr))
 
     def pass_on(self, news: GossipUpdate, count: int) -> None:
         """Send news to so many members drawn at random."""
         data = encode_gossip(news, self._key)
-        for member in self._membership.some(count):
+        for member in self._membership.random_members(count):
             self._send(data, member.address)
 
     def send(self, message: DirectMessage, address: tuple[str, int]) -> None:
@@ -160,7 +160,7 @@
     def records_differing(self, request: SyncRequest) -> list[Member]:
         """Return the records in which another's view differs from this one."""
         buckets = self._membership.digest.differing(request.digest)
-        return self._membership.records_in(buckets)[:MOST_RECORDS]
+        return self._membership.records_in_buckets(buckets)[:MOST_RECORDS]
 
     def close(self) -> None:
         """Stop."""
@@ -173,7 +173,7 @@
         """Take note that a node holds a version of the configuration."""
         self.newest_configuration = max(self.newest_configuration, version)
 
-    def _hear(self, sender: Member, held: HeldVersions) -> None:
+    def _hear(self, sender: Member, held: CachedVersions) -> None:
         if held.configuration and held.configuration >= self.newest_configuration:
             self.newest_configuration = held.configuration
             self.configuration_teller = sender
@@ -181,7 +181,7 @@
             self.newest_rules = held.rules
             self.rules_teller = sender
         self.on_held(held)
-        self.on_confirmed(sender, held.confirmed)
+        self.on_confirmed(sender, held.confirmation_age_ms)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
         for send in sends:
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
@@ -5,7 +5,7 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.hints import GateReports
-from rattanfork_core.membership import GateNews, Member, Membership
+from rattanfork_core.membership import GateUpdate, Member, Membership
 from rattanfork_node.member.gate_news import GateNewsTask
 
 
@@ -13,10 +13,10 @@
     """Keeps what is passed on."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[GateNews, int]] = []
+        self.news: list[tuple[GateUpdate, int]] = []
         self.on_reports = None
 
-    def pass_on(self, news: GateNews, count: int) -> None:
+    def pass_on(self, news: GateUpdate, count: int) -> None:
         self.news.append((news, count))
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
@@ -127,7 +127,9 @@
         task.start()
         await until(lambda: task.joined)
         assert others.count == 1
-        assert [s.message.target for s in membership.introduce()] == [member("n2").name]
+        assert [s.message.target for s in membership.announce_self()] == [
+            member("n2").name
+        ]
 
     asyncio.run(play())
 
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -283,7 +283,7 @@
 
     def bury(self, name: str) -> None:
         """Take note that another process answers at a member's address."""
-        self._membership.bury(name)
+        self._membership.mark_dead(name)
 
     def suspect(self, name: str) -> None:
         """Take note that no connection to a member could be made."""
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -295,7 +295,7 @@
             self._want_proof,
         )
         self.rules = RevisionState()
-        self.rules.hear_from_store(None)
+        self.rules.receive_from_store(None)
         self.reports = GateReports(self.clock, me.name)
         self.relay = Relay(
             self.clock,
@@ -335,7 +335,7 @@
     def accept_rules(self, text: str) -> None:
         """Let a document of rules be in force."""
         revision = self.rules.revision + 1
-        self.rules.hear_from_store(RulesRecord(revision, "op", "ann", "", text))
+        self.rules.receive_from_store(RulesRecord(revision, "op", "ann", "", text))
 
     @property
     def links(self) -> list[FakeLink]:
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/change.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/change.py
@@ -160,9 +160,9 @@
         state = self.nodes[name]
         before = state.revision
         if from_store:
-            state.hear_from_store(record)
+            state.receive_from_store(record)
         else:
-            state.hear_from_peer("dc1", record)
+            state.receive_from_peer("dc1", record)
         if state.revision < before:
             self.broken.add("a node went back to an older revision")
 
@@ -210,7 +210,7 @@
             peers = ["dc2"]
         for peer in peers:
             if self.nodes[peer].ready:
-                state.hear_from_peer(peer, self.nodes[peer].record)
+                state.receive_from_peer(peer, self.nodes[peer].record)
         if state.ready and state.revision < accepted:
             self.broken.add("a fresh node took work under older rules")
         if state.ready and len(peers) < 2:
