--- a/bench/reports.py
+++ b/bench/reports.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from matplotlib import pyplot as plt
-from rattanfork_core.hints.tests.gossip import Gossip
+from rattanfork_core.gate_status.tests.gossip_simulation import Gossip
 from tables import table
 
 RESULTS = Path(__file__).parent.parent / "docs" / "measurements"
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -14,7 +14,7 @@
 from rattanfork_core.atmostonce import RunLedger, Ticket
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import ManualClock, MonotonicClock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import HintTable
 from rattanfork_core.membership import (
     HeldVersions,
     Member,
--- a/packages/rattanfork-core/rattanfork_core/hints/chain.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.hints.reach import ChainReach
-from rattanfork_core.hints.reports import GateReports
+from rattanfork_core.gate_status.dependencies import ChainReach
+from rattanfork_core.gate_status.gate_reports import GateReports
 from rattanfork_core.request.importance import RANKS
 
 
--- a/packages/rattanfork-core/rattanfork_core/hints/early.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -1,7 +1,7 @@
 """Refusal of what every instance would refuse."""
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints.table import HintTable
+from rattanfork_core.gate_status.threshold_cache import HintTable
 from rattanfork_core.request.importance import RANKS
 from rattanfork_core.routing import InstancePicker
 
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/gossip.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReports
 from rattanfork_core.membership import GateNews, encode_gossip
 
 TICK = 0.1
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/deep_fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -21,7 +21,7 @@
     Waiter,
 )
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import (
+from rattanfork_core.gate_status import (
     ChainReach,
     ChainThresholds,
     EarlyRefusal,
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/test_early.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_early_shedding.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import EarlyRefusal
+from rattanfork_core.gate_status import EarlyRefusal
 from rattanfork_core.routing import InstancePicker, InstanceState
 
 
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/test_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
@@ -4,18 +4,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import (
+from rattanfork_core.gate_status import (
     MOST_REPORTERS,
     GateReport,
     GateReports,
 )
-from rattanfork_core.hints.tests.deep_fleet import (
+from rattanfork_core.gate_status.tests.gossip_simulation import Gossip
+from rattanfork_core.gate_status.tests.overload_simulation import (
     FILING,
     LOOKUP,
     SEARCH,
     DeepFleet,
 )
-from rattanfork_core.hints.tests.gossip import Gossip
 
 
 @pytest.mark.parametrize("size", [12, 194, 300, 1000])
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/test_table.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_threshold_cache.py
@@ -1,7 +1,7 @@
 """Hints refuse early, and never shut a service that has opened."""
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import HintTable
 
 
 def heard(cut: float) -> tuple[HintTable, ManualClock]:
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/test_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_upstream_health.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import UpstreamHealth
+from rattanfork_core.gate_status import UpstreamHealth
 
 MEAN = 0.7
 
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from rattanfork_core.hints import GateReport, ServiceReports
+from rattanfork_core.gate_status import GateReport, ServiceReports
 from rattanfork_core.membership.held import HeldVersions
 from rattanfork_core.membership.member import Member
 from rattanfork_core.membership.requests import (
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -8,7 +8,7 @@
 
 from rattanfork_core.account import RepeatGrants
 from rattanfork_core.clock import BootClock, MonotonicClock
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReports
 from rattanfork_core.membership import (
     Member,
     Membership,
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/guard.py
@@ -24,8 +24,8 @@
     TicketMint,
 )
 from rattanfork_core.clock import Clock
+from rattanfork_core.gate_status import HintTable
 from rattanfork_core.hashing import hash64
-from rattanfork_core.hints import HintTable
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -5,7 +5,7 @@
 
 from rattanfork_core.account import Account
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import HintTable
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.request import (
     CallResult,
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -8,7 +8,7 @@
 from rattanfork_core.atmostonce import TicketError, TicketMint
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import HintTable
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_core.request import (
     CallResult,
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_news.py
@@ -1,6 +1,6 @@
 """Tells the fleet how this node's gate fares, and passes on what others tell."""
 
-from rattanfork_core.hints import MOST_REPORTERS, GateReports
+from rattanfork_core.gate_status import MOST_REPORTERS, GateReports
 from rattanfork_core.membership import GateNews, Member, Membership, duty_group
 
 from rattanfork_node.member.task import MemberTask
--- a/packages/rattanfork-node/rattanfork_node/member/task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/task.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import ServiceReports
+from rattanfork_core.gate_status import ServiceReports
 from rattanfork_core.membership import (
     CrashUpdate,
     DirectMessage,
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReports
 from rattanfork_core.membership import GateNews, Member, Membership
 from rattanfork_node.member.gate_news import GateNewsTask
 
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -11,7 +11,7 @@
     Waiter,
 )
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import ChainReach, HintTable, UpstreamHealth
+from rattanfork_core.gate_status import ChainReach, HintTable, UpstreamHealth
 from rattanfork_core.quarantine import Quarantine, SuspectTracker
 from rattanfork_core.request import CallResult, Outcome, Reason
 
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import (
+from rattanfork_core.gate_status import (
     ChainReach,
     ChainThresholds,
     EarlyRefusal,
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -3,7 +3,7 @@
 import asyncio
 import gc
 
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReports
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
 from rattanfork_node.http1 import Exchange
