--- a/bench/reports.py
+++ b/bench/reports.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from matplotlib import pyplot as plt
-from rattanfork_core.gate_status.tests.gossip_simulation import Gossip
+from rattanfork_core.gate_status.tests.gossip_simulation import GossipSimulation
 from tables import table
 
 RESULTS = Path(__file__).parent.parent / "docs" / "measurements"
@@ -22,13 +22,13 @@
 
 def measure(size: int, lost: float) -> dict[str, float]:
     """Return quantiles of the ages, and what a node sends."""
-    gossip = Gossip(size, GATES, lost)
-    gossip.play(SETTLE)
+    gossip = GossipSimulation(size, GATES, lost)
+    gossip.run(SETTLE)
     gossip.sent_bytes = 0
     ages: list[float] = []
     for _ in range(LOOKS):
-        gossip.play(0.2)
-        ages += gossip.ages()
+        gossip.run(0.2)
+        ages += gossip.report_ages()
     ages.sort()
     return {
         "nodes": size,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -14,7 +14,7 @@
 from rattanfork_core.atmostonce import RunLedger, Ticket
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import ManualClock, MonotonicClock
-from rattanfork_core.gate_status import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import (
     HeldVersions,
     Member,
@@ -229,8 +229,8 @@
 
     picker = InstancePicker("n", "dc1", clock, Random(1))
     picker.update(InstanceState(f"i{i}", "dc1", 120) for i in range(12))
-    hints = HintTable(clock)
-    hints.hear("s/o", "i1", 2.0)
+    hints = ThresholdCache(clock)
+    hints.update("s/o", "i1", 2.0)
     burn = BurnMeter(clock)
     call = Call(
         1, "b", "get", "GET", "/get?x=1", [["Accept", "*/*"]], b"", "f" * 32,
@@ -251,7 +251,7 @@
         "admit_and_finish_us": microseconds(admit, 20_000),
         "admission_tick_us": microseconds(admission.tick, 1000),
         "pick_us": microseconds(lambda: picker.pick(none), 20_000),
-        "hint_us": microseconds(lambda: hints.cut("s/o", "i1"), 20_000),
+        "hint_us": microseconds(lambda: hints.threshold("s/o", "i1"), 20_000),
         "burn_us": microseconds(
             lambda: burn.add("s", Importance.HIGH, "r", True, 0.01), 20_000
         ),
--- a/packages/rattanfork-core/rattanfork_core/announcements/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/__init__.py
@@ -1,6 +1,6 @@
 """What upstreams say of themselves, in the order they meant it."""
 
 from rattanfork_core.announcements.announcement import Announcement
-from rattanfork_core.announcements.tracker import AnnouncementBook
+from rattanfork_core.announcements.tracker import AnnouncementTracker
 
-__all__ = ["Announcement", "AnnouncementBook"]
+__all__ = ["Announcement", "AnnouncementTracker"]
--- a/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
@@ -24,7 +24,7 @@
         Rises with each announcement of the incarnation.
     leaving : bool
         Whether it takes no new work.
-    cold_for : float
+    warmup_left : float
         Seconds for which it is still slow after its start.
     born : int
         When the incarnation started, in Unix milliseconds of its own clock; 0 if
@@ -38,5 +38,5 @@
     slots: int
     sequence: int
     leaving: bool = False
-    cold_for: float = 0.0
+    warmup_left: float = 0.0
     born: int = 0
--- a/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
@@ -8,7 +8,7 @@
 _MOST_REMEMBERED = 64
 
 
-class AnnouncementBook:
+class AnnouncementTracker:
     """Keeps the newest announcement of the upstream beside this node.
 
     Explanation
@@ -28,18 +28,18 @@
     Examples
     ========
 
-    >>> book = AnnouncementBook()
-    >>> def says(name, sequence, leaving=False, born=0):
+    >>> tracker = AnnouncementTracker()
+    >>> def announce(name, sequence, leaving=False, born=0):
     ...     return Announcement(name, "s", "h", 1, 8, sequence, leaving, 0.0, born)
-    >>> book.hear(says("a", 1)), book.hear(says("a", 3, leaving=True))
+    >>> tracker.accept(announce("a", 1)), tracker.accept(announce("a", 3, leaving=True))
     (True, True)
-    >>> book.hear(says("a", 2))
+    >>> tracker.accept(announce("a", 2))
     False
-    >>> book.hear(says("a", 1, born=7)), book.current.leaving
+    >>> tracker.accept(announce("a", 1, born=7)), tracker.current.leaving
     (True, False)
-    >>> book.hear(says("b", 1)), book.hear(says("a", 4, born=7))
+    >>> tracker.accept(announce("b", 1)), tracker.accept(announce("a", 4, born=7))
     (True, False)
-    >>> book.current.upstream
+    >>> tracker.current.upstream
     'b'
     """
 
@@ -53,7 +53,7 @@
         """The newest announcement that counts; None if there is none."""
         return self._current
 
-    def hear(self, announcement: Announcement) -> bool:
+    def accept(self, announcement: Announcement) -> bool:
         """Take in an announcement; return whether it counts."""
         name, born = announcement.upstream, announcement.born
         if self._is_over(name, born):
@@ -67,7 +67,7 @@
         self._current = announcement
         return True
 
-    def leave(self, upstream: str, born: int | None = None) -> bool:
+    def retire(self, upstream: str, born: int | None = None) -> bool:
         """Take note that an incarnation has left; return whether it was current.
 
         Parameters
@@ -90,7 +90,7 @@
         self._close(upstream, born or 0)
         return False
 
-    def has_left(self, upstream: str) -> bool:
+    def is_retired(self, upstream: str) -> bool:
         """Return whether the newest known incarnation of an ID is over."""
         current = self._current
         if current is not None and current.upstream == upstream:
--- a/packages/rattanfork-core/rattanfork_core/connections/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/__init__.py
@@ -1,5 +1,5 @@
 """Which kept connections may carry another request."""
 
-from rattanfork_core.connections.idle_limit import RestLimit
+from rattanfork_core.connections.idle_limit import IdleLimit
 
-__all__ = ["RestLimit"]
+__all__ = ["IdleLimit"]
--- a/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
@@ -21,7 +21,7 @@
 _DOUBLES_IN = 10.0
 
 
-class RestLimit:
+class IdleLimit:
     """How long a connection to one upstream may rest and still be used.
 
     Explanation
@@ -44,16 +44,16 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> limit = RestLimit(clock)
-    >>> limit.seconds(promised=10.0, repeatable=True)
+    >>> limit = IdleLimit(clock)
+    >>> limit.max_idle(keep_alive_timeout=10.0, retryable=True)
     6.0
-    >>> limit.seconds(promised=10.0, repeatable=False)
+    >>> limit.max_idle(keep_alive_timeout=10.0, retryable=False)
     0.1
-    >>> limit.on_stale(rested=1.0)
-    >>> limit.seconds(promised=10.0, repeatable=True)
+    >>> limit.on_stale(idle=1.0)
+    >>> limit.max_idle(keep_alive_timeout=10.0, retryable=True)
     0.5
     >>> clock.advance(20)
-    >>> limit.seconds(promised=10.0, repeatable=True)
+    >>> limit.max_idle(keep_alive_timeout=10.0, retryable=True)
     2.0
     """
 
@@ -64,12 +64,12 @@
         self._learned: float | None = None
         self._learned_at = 0.0
 
-    def on_stale(self, rested: float) -> None:
+    def on_stale(self, idle: float) -> None:
         """Take note that a connection was found dead after a rest in seconds."""
-        self._learned = max(_LEAST_REST, _STALE_SHARE * rested)
+        self._learned = max(_LEAST_REST, _STALE_SHARE * idle)
         self._learned_at = self._clock.now()
 
-    def seconds(self, promised: float | None, repeatable: bool) -> float:
+    def max_idle(self, keep_alive_timeout: float | None, retryable: bool) -> float:
         """Return the longest rest of a connection to use.
 
         Parameters
@@ -80,10 +80,14 @@
         repeatable : bool
             Whether the request may be sent again after a reset.
         """
-        limit = _KEEP_DEFAULT if promised is None else _KEEP_SHARE * promised
+        limit = (
+            _KEEP_DEFAULT
+            if keep_alive_timeout is None
+            else _KEEP_SHARE * keep_alive_timeout
+        )
         if self._learned is not None:
             limit = min(limit, self._learned_now(limit))
-        return limit if repeatable else min(limit, _ONCE_REST)
+        return limit if retryable else min(limit, _ONCE_REST)
 
     def _learned_now(self, enough: float) -> float:
         doublings = (self._clock.now() - self._learned_at) / _DOUBLES_IN
--- a/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.gate_status.dependencies import ChainReach
-from rattanfork_core.gate_status.gate_reports import GateReports
+from rattanfork_core.gate_status.dependencies import OperationDependencies
+from rattanfork_core.gate_status.gate_reports import GateReportTable
 from rattanfork_core.request.importance import RANKS
 
 
-class ChainThresholds:
+class CallChainThresholds:
     """Tells a first node which rank the services behind an operation would shed.
 
     Explanation
@@ -21,9 +21,9 @@
     Parameters
     ==========
 
-    reports : GateReports
+    reports : GateReportTable
         What the gates of the fleet tell.
-    reach : ChainReach
+    reach : OperationDependencies
         Services behind each operation.
     instances : callable
         Returns how many instances a service has.
@@ -32,34 +32,37 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> fleet, reach = GateReports(ManualClock(), "a@b"), ChainReach()
-    >>> chain = ChainThresholds(fleet, reach, lambda service: 1)
-    >>> reach.on_run("look/receipts", ["donors"])
-    >>> fleet.report("donors", 2.5, impaired=False)
-    >>> chain.cut("look/receipts", "receipts"), chain.cut("pay/claims", "claims")
-    (2.5, 5.0)
+    >>> reports = GateReportTable(ManualClock(), "claims-1@b")
+    >>> dependencies = OperationDependencies()
+    >>> chain = CallChainThresholds(reports, dependencies, lambda service: 1)
+    >>> dependencies.record_run("look/receipts", ["donors"])
+    >>> reports.update_own("donors", 2.5, impaired=False)
+    >>> chain.threshold("look/receipts", "receipts")
+    2.5
+    >>> chain.threshold("pay/claims", "claims")
+    5.0
     """
 
     def __init__(
         self,
-        reports: GateReports,
-        reach: ChainReach,
+        reports: GateReportTable,
+        reach: OperationDependencies,
         instances: Callable[[str], int],
     ) -> None:
         self._reports = reports
         self._reach = reach
         self._instances = instances
 
-    def cut(self, operation: str, service: str) -> float:
+    def threshold(self, operation: str, service: str) -> float:
         """Return the rank from which the operation's chain would be broken."""
         if not len(self._reports):
             return float(RANKS)
-        return min(self.told(operation, service).values())
+        return min(self.thresholds_by_service(operation, service).values())
 
-    def told(self, operation: str, service: str) -> dict[str, float]:
+    def thresholds_by_service(self, operation: str, service: str) -> dict[str, float]:
         """Return the thresholds along the chain, by service."""
         services = (service, *self._reach.services(operation))
         return {
-            name: round(self._reports.cut(name, self._instances(name)), 3)
+            name: round(self._reports.service_threshold(name, self._instances(name)), 3)
             for name in services
         }
--- a/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
@@ -12,7 +12,7 @@
 _MOST_SERVICES = 32
 
 
-class ChainReach:
+class OperationDependencies:
     """Services that runs of an operation reach, at any depth, learned from runs.
 
     Explanation
@@ -30,11 +30,11 @@
     Examples
     ========
 
-    >>> reach = ChainReach()
-    >>> reach.on_run("file/claims", ["declarations", "donors"])
-    >>> reach.services("file/claims")
+    >>> dependencies = OperationDependencies()
+    >>> dependencies.record_run("file/claims", ["declarations", "donors"])
+    >>> dependencies.services("file/claims")
     ('declarations', 'donors')
-    >>> reach.services("other")
+    >>> dependencies.services("other")
     ()
     """
 
@@ -42,7 +42,7 @@
         self._shares: dict[str, dict[str, float]] = {}
         self._reached: dict[str, tuple[str, ...]] = {}
 
-    def on_run(self, operation: str, services: Iterable[str]) -> None:
+    def record_run(self, operation: str, services: Iterable[str]) -> None:
         """Take in the services that a run which ended well has reached."""
         seen = set(services)
         shares = self._shares.get(operation)
--- a/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
@@ -14,7 +14,7 @@
 _PARTS = 50
 #: Gates of one service that tell their thresholds; more say nothing new, and what
 #: travels does not grow with the service.
-MOST_REPORTERS = 16
+MAX_REPORTERS = 16
 #: Share of a service's gates that has to shed a rank before a first node refuses
 #: it: the others still have room, and calls that one gate sheds find them.
 _MOST_SHED = 0.67
@@ -63,10 +63,10 @@
     """
 
     gate: int
-    number: int
+    sequence: int
     cut: int
     impaired: bool
-    age: int
+    age_ms: int
 
     @classmethod
     def from_fields(cls, fields: object) -> "GateReport":
@@ -90,7 +90,7 @@
 
 
 #: Reports by service.
-ServiceReports = Mapping[str, Iterable[GateReport]]
+ReportsByService = Mapping[str, Iterable[GateReport]]
 
 
 @dataclass(slots=True)
@@ -103,7 +103,7 @@
     told: int = 0
 
 
-class GateReports:
+class GateReportTable:
     """What this node knows of gates that it may never have sent anything to.
 
     Explanation
@@ -132,13 +132,15 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> gate = GateReports(ManualClock(), "donors-1@b")
-    >>> gate.report("donors", 2.5, impaired=False)
-    >>> first = GateReports(ManualClock(), "claims-1@b")
-    >>> first.hear(gate.news())
-    >>> first.cut("donors", instances=1), first.cut("donors", instances=3)
-    (2.5, 5.0)
-    >>> first.about("donors", "donors-1@b")
+    >>> gate = GateReportTable(ManualClock(), "donors-1@b")
+    >>> gate.update_own("donors", 2.5, impaired=False)
+    >>> entry = GateReportTable(ManualClock(), "claims-1@b")
+    >>> entry.merge(gate.take_fresh())
+    >>> entry.service_threshold("donors", instances=1)
+    2.5
+    >>> entry.service_threshold("donors", instances=3)
+    5.0
+    >>> entry.gate_state("donors", "donors-1@b")
     (2.5, 0.0)
     """
 
@@ -153,7 +155,7 @@
     def __len__(self) -> int:
         return len(self._known)
 
-    def report(self, service: str, cut: float | None, impaired: bool) -> None:
+    def update_own(self, service: str, cut: float | None, impaired: bool) -> None:
         """Say how this node's own gate fares; call it several times a second.
 
         Parameters
@@ -178,7 +180,7 @@
         self._number += 1
         self._keep(service, self._me, _Known(self._number, cut, impaired, now))
 
-    def news(self) -> dict[str, list[GateReport]]:
+    def take_fresh(self) -> dict[str, list[GateReport]]:
         """Return what is to be told to others now, by service; call it each tick.
 
         What was heard since the last few calls is told, and nothing if that is none.
@@ -202,7 +204,7 @@
             told.setdefault(service, []).append(report)
         return told
 
-    def hear(self, told: ServiceReports) -> None:
+    def merge(self, told: ReportsByService) -> None:
         """Take in what another node has told."""
         now = self._clock.now()
         for service, reports in told.items():
@@ -214,7 +216,7 @@
                     known = _Known(number, cut / _PARTS, impaired, said_at)
                     self._keep(service, gate, known)
 
-    def cut(self, service: str, instances: int) -> float:
+    def service_threshold(self, service: str, instances: int) -> float:
         """Return the rank from which a service sheds.
 
         Parameters
@@ -236,11 +238,11 @@
             return _OPEN
         now = self._clock.now()
         cuts = sorted(_aged(known, now) for known in told.values())
-        reporters = min(max(len(cuts), instances), MOST_REPORTERS)
+        reporters = min(max(len(cuts), instances), MAX_REPORTERS)
         place = ceil(_MOST_SHED * reporters) - 1
         return cuts[place] if place < len(cuts) else _OPEN
 
-    def about(self, service: str, name: str) -> tuple[float, float]:
+    def gate_state(self, service: str, name: str) -> tuple[float, float]:
         """Return the rank from which a gate sheds, and until when it is impaired.
 
         A gate that says nothing is open, and impaired until 0.
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.gate_status import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import GateNews, encode_gossip
 
 TICK = 0.1
@@ -11,18 +11,18 @@
 TOLD = 2
 
 
-class Gossip:
+class GossipSimulation:
     """Nodes that pass on what a few gates say; datagrams may be lost."""
 
     def __init__(self, nodes: int, gates: int, lost: float = 0.0) -> None:
         self.clock = ManualClock(100.0)
         self.random = Random(nodes)
         self.lost = lost
-        self.nodes = [GateReports(self.clock, f"n{i}@b") for i in range(nodes)]
+        self.nodes = [GateReportTable(self.clock, f"n{i}@b") for i in range(nodes)]
         self.gates = gates
         self.sent_bytes = 0
 
-    def play(self, seconds: float, cut: float = 2.5) -> None:
+    def run(self, seconds: float, cut: float = 2.5) -> None:
         """Let each node tick at a moment of its own."""
         order = list(range(len(self.nodes)))
         self.random.shuffle(order)
@@ -34,16 +34,16 @@
     def tick(self, place: int, cut: float) -> None:
         node = self.nodes[place]
         if place < self.gates:
-            node.report("deep", cut, impaired=False)
-        news = node.news()
+            node.update_own("deep", cut, impaired=False)
+        news = node.take_fresh()
         if not news:
             return
         for other in self.random.sample(self.nodes, TOLD):
             self.sent_bytes += len(encode_gossip(GateNews(news), b"key"))
             if self.random.random() >= self.lost:
-                other.hear(news)
+                other.merge(news)
 
-    def ages(self) -> list[float]:
+    def report_ages(self) -> list[float]:
         """Return how old the newest word of each gate is at each node."""
         now = self.clock.now()
         return sorted(
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -22,10 +22,10 @@
 )
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import (
-    ChainReach,
-    ChainThresholds,
-    EarlyRefusal,
-    GateReports,
+    CallChainThresholds,
+    EarlyShedder,
+    GateReportTable,
+    OperationDependencies,
 )
 from rattanfork_core.routing import InstancePicker, InstanceState
 
@@ -121,7 +121,7 @@
 class Gate:
     """A deep gate with its upstream."""
 
-    def __init__(self, fleet: "DeepFleet", name: str, speed: float) -> None:
+    def __init__(self, fleet: "OverloadSimulation", name: str, speed: float) -> None:
         self.fleet, self.name, self.speed = fleet, name, speed
         self.admission = AdmissionController(
             fleet.clock,
@@ -193,51 +193,54 @@
 class Node:
     """What one node knows, and what it decides by."""
 
-    def __init__(self, fleet: "DeepFleet", name: str) -> None:
+    def __init__(self, fleet: "OverloadSimulation", name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.reports = GateReports(fleet.clock, name)
+        self.reports = GateReportTable(fleet.clock, name)
         self.gate: Gate | None = None
-        self.reach = ChainReach()
-        self.chain = ChainThresholds(
+        self.reach = OperationDependencies()
+        self.chain = CallChainThresholds(
             self.reports, self.reach, lambda service: DEEP_GATES
         )
-        self.early = EarlyRefusal(fleet.clock)
-        self.deeper = EarlyRefusal(fleet.clock)
+        self.early = EarlyShedder(fleet.clock)
+        self.deeper = EarlyShedder(fleet.clock)
         share = 0.75 * EXTRA / fleet.size
         self.budget = RepeatBudget(fleet.clock, 0.9 * RATIO, share, WINDOW)
         self.picker = InstancePicker(name, "dc", fleet.clock, fleet.random)
         for kind in SURGE:
-            self.reach.on_run(kind.name, [DEEP] if kind.service == UPPER else [])
+            self.reach.record_run(kind.name, [DEEP] if kind.service == UPPER else [])
 
     def tick(self) -> None:
         """Tell the fleet what is known."""
         if self.gate is not None:
-            self.reports.report(DEEP, self.gate.admission.cut, impaired=False)
-        news = self.reports.news()
+            self.reports.update_own(DEEP, self.gate.admission.cut, impaired=False)
+        news = self.reports.take_fresh()
         if news:
             for other in self.fleet.random.sample(self.fleet.nodes, TOLD):
-                self.fleet.after(HOP, lambda o=other: o.reports.hear(news))
+                self.fleet.after(HOP, lambda o=other: o.reports.merge(news))
 
     def admits(self, kind: Kind, rank: float, upper: "Node") -> bool:
         """Return whether a caller's request is begun."""
-        if self.fleet.told and rank >= self.chain.cut(kind.name, kind.service):
+        if self.fleet.told and rank >= self.chain.threshold(kind.name, kind.service):
             return False
-        return self.early.blocked(self.fleet.uppers(self), kind.name, rank) is not None
+        return (
+            self.early.shedding_instances(self.fleet.uppers(self), kind.name, rank)
+            is not None
+        )
 
     def choose(self, call: Call) -> str | None:
         """Return the deep instance that a call goes to."""
         rank = call.request.rank
         kind = call.request.kind.name
-        shut = self.deeper.blocked(self.picker, kind, rank) or frozenset()
+        shut = self.deeper.shedding_instances(self.picker, kind, rank) or frozenset()
         names = self.picker.states
         if self.fleet.told:
-            shedding = {n for n in names if self.reports.about(DEEP, n)[0] <= rank}
+            shedding = {n for n in names if self.reports.gate_state(DEEP, n)[0] <= rank}
             shut = shut | shedding if len(shedding) < len(names) else shut
         return self.picker.pick(call.tried | shut) or self.picker.pick(call.tried)
 
 
 @dataclass
-class DeepFleet:
+class OverloadSimulation:
     """The fleet, its callers, and what became of their requests.
 
     ``told`` says whether first nodes use what gates tell the fleet, or only what
@@ -291,7 +294,7 @@
         at = self.clock.now() + seconds
         heappush(self.heap, (at, next(self.numbers), work))
 
-    def play(self, seconds: float) -> "DeepFleet":
+    def play(self, seconds: float) -> "OverloadSimulation":
         """Let time pass."""
         self.began = self.clock.now()
         until = self.began + seconds
@@ -372,7 +375,7 @@
         state.on_done(now, call.sent_at, failed=False)
         state.busy = gate.busy
         cut = gate.admission.cut
-        request.upper.deeper.hear(request.kind.name, gate.name, cut)
+        request.upper.deeper.update(request.kind.name, gate.name, cut)
         if end != "ran":
             call.tried |= {gate.name}
             if len(call.tried) == DEEP_GATES:
@@ -420,8 +423,8 @@
     def finish(self, request: Request, whole: bool) -> None:
         """Give a request its end, and the first node what it tells."""
         upper, kind = request.upper, request.kind
-        cut = upper.deeper.highest(upper.picker, kind.name)
-        request.first.early.hear(kind.name, upper.name, 5.0 if cut is None else cut)
+        cut = upper.deeper.highest_threshold(upper.picker, kind.name)
+        request.first.early.update(kind.name, upper.name, 5.0 if cut is None else cut)
         counted = self.counts[kind.name]
         if whole and self.counting:
             counted.whole += 1
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -11,7 +11,7 @@
 _PROBE_TIMEOUT = 1.0
 
 
-class HintTable:
+class ThresholdCache:
     """Thresholds by operation and instance, aged.
 
     Explanation
@@ -45,17 +45,17 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> hints = HintTable(clock)
-    >>> hints.hear("donors/search", "w1", 2.0)
-    >>> hints.cut("donors/search", "w1")
+    >>> thresholds = ThresholdCache(clock)
+    >>> thresholds.update("donors/search", "w1", 2.0)
+    >>> thresholds.threshold("donors/search", "w1")
     2.0
     >>> clock.advance(60)
-    >>> hints.cut("donors/search", "w1")
+    >>> thresholds.threshold("donors/search", "w1")
     5.0
     """
 
     #: Operations come from URLs and instances come and go.
-    MOST_HINTS = 20_000
+    MAX_ENTRIES = 20_000
 
     def __init__(
         self,
@@ -74,20 +74,20 @@
     def __len__(self) -> int:
         return len(self._hints)
 
-    def hear(self, operation: str, instance: str, cut: float) -> None:
+    def update(self, operation: str, instance: str, cut: float) -> None:
         """Take in the cut that came with a reply."""
         key = (operation, instance)
         if cut >= _OPEN:
             self._hints.pop(key, None)
             self._probed.pop(key, None)
             return
-        if len(self._hints) >= self.MOST_HINTS and key not in self._hints:
+        if len(self._hints) >= self.MAX_ENTRIES and key not in self._hints:
             oldest = next(iter(self._hints))
             del self._hints[oldest]
             self._probed.pop(oldest, None)
         self._hints[key] = (cut, self._clock.now())
 
-    def cut(self, operation: str, instance: str) -> float:
+    def threshold(self, operation: str, instance: str) -> float:
         """Return the rank from which the instance sheds the operation."""
         hint = self._hints.get((operation, instance))
         if hint is None:
@@ -96,14 +96,16 @@
         stale = self._clock.now() - heard - self._fresh
         return cut if stale <= 0 else min(_OPEN, cut + stale * self._rise)
 
-    def last_heard(self, operation: str, instance: str) -> float:
+    def last_reported(self, operation: str, instance: str) -> float:
         """Return the cut as it was heard; once it is old, all ranks pass."""
         hint = self._hints.get((operation, instance))
-        if hint is None or self.cut(operation, instance) >= _OPEN:
+        if hint is None or self.threshold(operation, instance) >= _OPEN:
             return _OPEN
         return hint[0]
 
-    def heard(self, operation: str, instance: str) -> tuple[float, float] | None:
+    def threshold_and_age(
+        self, operation: str, instance: str
+    ) -> tuple[float, float] | None:
         """Return the cut that was last heard and its age in seconds, or None."""
         hint = self._hints.get((operation, instance))
         if hint is None:
@@ -111,14 +113,14 @@
         cut, heard = hint
         return round(cut, 3), round(self._clock.now() - heard, 3)
 
-    def may_probe(self, operation: str, instance: str, rank: float) -> bool:
+    def allow_probe(self, operation: str, instance: str, rank: float) -> bool:
         """Return whether a request that would be refused may pass now."""
         key = (operation, instance)
         hint = self._hints.get(key)
         if hint is None:
             return True
         cut, heard = hint
-        if rank > max(cut + _PROBE_REACH, self.cut(operation, instance)):
+        if rank > max(cut + _PROBE_REACH, self.threshold(operation, instance)):
             return False
         now = self._clock.now()
         probed = self._probed.get(key, 0.0)
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from rattanfork_core.gate_status import GateReport, ServiceReports
+from rattanfork_core.gate_status import GateReport, ReportsByService
 from rattanfork_core.membership.held import HeldVersions
 from rattanfork_core.membership.member import Member
 from rattanfork_core.membership.requests import (
@@ -56,7 +56,7 @@
 class GateNews(NamedTuple):
     """Tells what gates have reported, by service; nobody answers it."""
 
-    reports: ServiceReports
+    reports: ReportsByService
 
 
 class CrashUpdate(NamedTuple):
--- a/packages/rattanfork-core/rattanfork_core/routing/instance.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/instance.py
@@ -44,14 +44,14 @@
     known_since: float = 0.0
     in_flight: int = 0
     latency: float = 0.0
-    failures: float = 0.0
+    failure_rate: float = 0.0
     leaving: bool = False
     suspect: bool = False
     busy: int = 0
     #: Until when its gate says that its upstream fails or has become slow.
     impaired_until: float = 0.0
     #: Sum of the times at which the calls in flight were sent.
-    sent_sum: float = 0.0
+    sent_at_sum: float = 0.0
     _latencies: dict[str, _Latency] = field(default_factory=dict)
 
     @property
@@ -66,9 +66,9 @@
     @property
     def mostly_failing(self) -> bool:
         """Whether it fails so often that its load and thresholds say nothing."""
-        return self.failures > _MOSTLY_FAILING
+        return self.failure_rate > _MOSTLY_FAILING
 
-    def latency_at(self, now: float) -> float:
+    def expected_latency(self, now: float) -> float:
         """Return the latency to expect in seconds; 0 while unknown.
 
         An instance that turns slow tells so with its first answers, which are
@@ -78,10 +78,12 @@
         """
         if not self.in_flight or not self.latency:
             return self.latency
-        age = now - self.sent_sum / self.in_flight
+        age = now - self.sent_at_sum / self.in_flight
         return max(self.latency, _AGE_FACTOR * age)
 
-    def latency_of(self, operation: str, now: float, believed_for: float) -> float:
+    def expected_operation_latency(
+        self, operation: str, now: float, believed_for: float
+    ) -> float:
         """Return the latency of one operation to expect at a time, in seconds.
 
         It is 0 if no answer was heard for longer than it is believed.
@@ -91,25 +93,27 @@
             return 0.0
         if not self.latency:
             return known.seconds
-        return known.seconds * self.latency_at(now) / self.latency
+        return known.seconds * self.expected_latency(now) / self.latency
 
     def on_sent(self, now: float) -> None:
         """Count a call sent at a time in seconds."""
         self.in_flight += 1
-        self.sent_sum += now
+        self.sent_at_sum += now
 
-    def on_withdrawn(self, sent_at: float) -> None:
+    def on_inconclusive(self, sent_at: float) -> None:
         """Take note that a call ended without telling of the instance."""
         self.in_flight = max(0, self.in_flight - 1)
-        self.sent_sum = self.sent_sum - sent_at if self.in_flight else 0.0
+        self.sent_at_sum = self.sent_at_sum - sent_at if self.in_flight else 0.0
 
     def on_done(
         self, now: float, sent_at: float, failed: bool, operation: str = ""
     ) -> None:
         """Take in how a call ended that was sent at a time in seconds."""
-        self.on_withdrawn(sent_at)
+        self.on_inconclusive(sent_at)
         duration = now - sent_at
-        self.failures += _FAILURE_WEIGHT * ((1.0 if failed else 0.0) - self.failures)
+        self.failure_rate += _FAILURE_WEIGHT * (
+            (1.0 if failed else 0.0) - self.failure_rate
+        )
         if not failed:
             self._learn(operation, duration, now)
             if self.latency:
--- a/packages/rattanfork-core/rattanfork_core/routing/picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/picker.py
@@ -66,7 +66,7 @@
         Most instances that calls are spread over.
     warmup : float
         Seconds until a new instance gets its full share.
-    local_load : float
+    local_load_limit : float
         Load up to which an instance of the own data centre is taken without
         being compared with others; 0 compares always.
 
@@ -90,7 +90,7 @@
         random: Random,
         subset_size: int = 16,
         warmup: float = 5.0,
-        local_load: float = 0.0,
+        local_load_limit: float = 0.0,
     ) -> None:
         self._node = node
         self._data_centre = data_centre
@@ -98,7 +98,7 @@
         self._random = random
         self._subset_size = subset_size
         self._warmup = warmup
-        self._local_load = local_load
+        self._local_load = local_load_limit
         self._states: dict[str, InstanceState] = {}
         self._subset: list[InstanceState] = []
 
@@ -113,12 +113,12 @@
         return self._subset
 
     @property
-    def usual_latency(self) -> float:
+    def slowest_latency(self) -> float:
         """Recent latency of the slowest instance in seconds; 0 while unknown."""
         return max((state.latency for state in self._subset), default=0.0)
 
     @property
-    def best_latency(self) -> float:
+    def fastest_latency(self) -> float:
         """Recent latency of the fastest instance in seconds; 0 while unknown."""
         known = [state.latency for state in self._subset if state.latency]
         return min(known, default=0.0)
@@ -140,7 +140,7 @@
         self._subset = [states[name] for name in names]
 
     def pick(
-        self, avoid: frozenset[str], operation: str = "", patience: float = inf
+        self, excluded: frozenset[str], operation: str = "", timeout: float = inf
     ) -> str | None:
         """Return an instance, or None if all are to be avoided.
 
@@ -155,16 +155,16 @@
             Seconds after which the call is given up.
         """
         candidates = self._subset
-        if avoid:
-            candidates = [s for s in candidates if s.name not in avoid]
+        if excluded:
+            candidates = [s for s in candidates if s.name not in excluded]
         if not candidates:
             return None
         healthy = [s for s in candidates if not s.suspect]
         # If all are suspect the fault is more likely on this side.
         candidates = healthy or candidates
         candidates = self._sound(candidates) or candidates
-        if patience < inf:
-            candidates = self._quick(candidates, operation, patience)
+        if timeout < inf:
+            candidates = self._quick(candidates, operation, timeout)
         if self._local_load:
             candidates = self._local(candidates) or candidates
         return self._pick_two(candidates).name
@@ -197,13 +197,16 @@
         """
         enough = patience / _TAIL
         now = self._clock.now()
-        latencies = [s.latency_of(operation, now, _BELIEVED_FOR) for s in candidates]
+        latencies = [
+            s.expected_operation_latency(operation, now, _BELIEVED_FOR)
+            for s in candidates
+        ]
         if max(latencies) <= enough:
             return candidates
         roomy = [
             (s, latency)
             for s, latency in zip(candidates, latencies, strict=True)
-            if s.load < _ROOM and s.failures < _SOME_FAILURES
+            if s.load < _ROOM and s.failure_rate < _SOME_FAILURES
         ]
         fastest = min((latency for _, latency in roomy), default=0.0)
         most = max(enough, _ABOUT_AS_FAST * fastest)
@@ -225,17 +228,17 @@
             for s in candidates
             if s.data_centre == self._data_centre
             and s.load < self._local_load
-            and s.failures < _SOME_FAILURES
+            and s.failure_rate < _SOME_FAILURES
             and s.impaired_until <= now
-            and (not slow or s.latency_at(now) <= slow)
+            and (not slow or s.expected_latency(now) <= slow)
             and now - s.known_since >= self._warmup
         ]
 
-    def outside(self, data_centre: str) -> frozenset[str]:
+    def instances_outside(self, data_centre: str) -> frozenset[str]:
         """Return the instances that are not in a data centre."""
         return frozenset(s.name for s in self._subset if s.data_centre != data_centre)
 
-    def spread(self, count: int) -> list[str]:
+    def pick_weighted(self, count: int) -> list[str]:
         """Return instances for work to be sent later, spread by slots.
 
         What is in flight now says nothing about later, and keys issued
@@ -260,8 +263,8 @@
 
     def _score(self, state: InstanceState) -> float:
         now = self._clock.now()
-        latency = state.latency_at(now) or _UNKNOWN_LATENCY
-        score = (state.in_flight + 1) * latency * (1.0 + 10.0 * state.failures)
+        latency = state.expected_latency(now) or _UNKNOWN_LATENCY
+        score = (state.in_flight + 1) * latency * (1.0 + 10.0 * state.failure_rate)
         if state.data_centre != self._data_centre:
             score *= _REMOTE_FACTOR
         if state.impaired_until > now:
--- a/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
@@ -61,7 +61,7 @@
 
 def test_keys_issued_together_are_spread_by_slots():
     made = picker(state("big", "dc2", slots=30), state("small", slots=10))
-    counts = Counter(made.spread(4000))
+    counts = Counter(made.pick_weighted(4000))
     assert 2.5 < counts["big"] / counts["small"] < 3.5
 
 
@@ -75,7 +75,7 @@
 
 def _local_picker(*states):
     picker = InstancePicker(
-        "n", "dc1", ManualClock(100), Random(1), warmup=5.0, local_load=0.7
+        "n", "dc1", ManualClock(100), Random(1), warmup=5.0, local_load_limit=0.7
     )
     picker.update(states)
     return picker
@@ -86,7 +86,7 @@
 
 
 def test_an_instance_at_hand_with_room_is_taken_although_it_is_slower():
-    near = InstanceState("near", "dc1", 10, latency=0.2, in_flight=3, sent_sum=300.0)
+    near = InstanceState("near", "dc1", 10, latency=0.2, in_flight=3, sent_at_sum=300.0)
     far = InstanceState("far", "dc2", 10, latency=0.1)
     assert _chosen(_local_picker(near, far)) == {"near"}
 
@@ -106,7 +106,7 @@
     far = InstanceState("far", "dc2", 10, latency=0.1)
     slow = InstanceState("near", "dc1", 10, latency=1.0)
     assert _chosen(_local_picker(slow, far)) == {"far"}
-    failing = InstanceState("near", "dc1", 10, latency=0.1, failures=0.5)
+    failing = InstanceState("near", "dc1", 10, latency=0.1, failure_rate=0.5)
     assert _chosen(_local_picker(failing, far)) == {"far"}
 
 
@@ -171,7 +171,7 @@
         else:
             instance.on_done(now, sent.pop(), failed=True)
         oldest = now - min(sent, default=now)
-        assert instance.latency_at(now) <= max(0.01, 1.5 * oldest) + 1e-6
+        assert instance.expected_latency(now) <= max(0.01, 1.5 * oldest) + 1e-6
 
 
 def timed_out(quick_pick: bool) -> tuple[float, float]:
@@ -181,7 +181,7 @@
     Return the shares that ran out of time and that left the own data centre.
     """
     clock, random = ManualClock(100.0), Random(5)
-    made = InstancePicker("n1", "dc1", clock, Random(1), local_load=0.85)
+    made = InstancePicker("n1", "dc1", clock, Random(1), local_load_limit=0.85)
     speeds = {"slow": 0.6, "mean": 1.0, "fast": 1.4}
     centres = {"slow": "dc1", "mean": "dc2", "fast": "dc3"}
     made.update([state(n, centres[n], slots=100, latency=0.2) for n in speeds])
@@ -231,7 +231,7 @@
 def shares_beside_one_that_hangs(patience: float) -> Counter[str]:
     """Play 2,600 calls to three instances, one of which answers nothing."""
     clock = ManualClock(100.0)
-    made = InstancePicker("n1", "dc1", clock, Random(1), local_load=0.85)
+    made = InstancePicker("n1", "dc1", clock, Random(1), local_load_limit=0.85)
     names = {"slow": 0.3, "fast": 0.2, "hung": 0.2}
     made.update([state(n, slots=100) for n in names])
     pending: list[tuple[float, float, InstanceState]] = []
@@ -243,7 +243,7 @@
             pending.remove(call)
             _, _, instance = call
             if instance.name == "hung" and step > 300:
-                instance.on_withdrawn(call[0])
+                instance.on_inconclusive(call[0])
             else:
                 instance.on_done(now, call[0], False, "post")
         name = made.pick(NONE, "post", patience)
@@ -275,7 +275,7 @@
     little room, and they would shed for it.
     """
     clock = ManualClock(100.0)
-    picker = InstancePicker("n", "dc", clock, Random(1), local_load=0.85)
+    picker = InstancePicker("n", "dc", clock, Random(1), local_load_limit=0.85)
     picker.update([InstanceState(f"i{n}", "dc", slots=10) for n in range(4)])
     impaired = picker.states["i0"]
     impaired.impaired_until = 102.0
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -8,7 +8,7 @@
 from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
-from rattanfork_core.gate_status import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import HeldVersions, Member, Membership, MemberStatus
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.settings import NodeSettings
@@ -180,7 +180,7 @@
 
     def _make_edge(self) -> None:
         settings = self._settings
-        hints = HintTable(self._clock)
+        hints = ThresholdCache(self._clock)
         directory = Directory(self._clock, self._random, self._membership)
         epochs = EpochBook(self._clock)
         dispatcher = Dispatcher(
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -8,7 +8,7 @@
 
 from rattanfork_core.account import RepeatGrants
 from rattanfork_core.clock import BootClock, MonotonicClock
-from rattanfork_core.gate_status import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import (
     Member,
     Membership,
@@ -182,7 +182,7 @@
             me,
             MembershipSettings(pushes=_PUSHES, push_interval=_TICK),
         )
-        self._reports = GateReports(self._clock, me.name)
+        self._reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
         self._membership.on_status = self._on_member
         self._lease = ConfigurationLease(BootClock())
--- a/packages/rattanfork-node/rattanfork_node/app/upstream_keeper.py
+++ b/packages/rattanfork-node/rattanfork_node/app/upstream_keeper.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Coroutine
 
-from rattanfork_core.announcements import Announcement, AnnouncementBook
+from rattanfork_core.announcements import Announcement, AnnouncementTracker
 from rattanfork_core.clock import Clock
 from rattanfork_core.membership import Membership
 
@@ -74,7 +74,7 @@
         self._address = address
         self._counters = counters
         self._spawn = spawn
-        self._book = AnnouncementBook()
+        self._book = AnnouncementTracker()
         self._closed = False
         self._probing = False
         self._next_probe = 0.0
@@ -92,7 +92,7 @@
         """
         if announcement.service != self._service:
             return False
-        if not self._book.hear(announcement):
+        if not self._book.accept(announcement):
             self._counters.events["announcement.late"] += 1
         elif announcement.leaving:
             self._release("leaving", announcement.upstream)
@@ -104,9 +104,9 @@
     def on_leave(self, upstream: str, born: int | None = None) -> None:
         """Take note that an upstream has left, which was born then if it says."""
         known = self._gate.upstream
-        was_current = self._book.leave(upstream, born)
+        was_current = self._book.retire(upstream, born)
         attached = known is not None and known.name == upstream
-        if was_current or (attached and self._book.has_left(upstream)):
+        if was_current or (attached and self._book.is_retired(upstream)):
             self._release("left", upstream)
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
         name = await self._prober.ask(path)
         self._probing = False
         self._next_probe = self._clock.now() + _PROBE_PAUSE
-        if name is None or self._book.has_left(name):
+        if name is None or self._book.is_retired(name):
             return
         current = self._book.current
         if current is not None and current.upstream == name:
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/guard.py
@@ -24,7 +24,7 @@
     TicketMint,
 )
 from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.hashing import hash64
 from rattanfork_core.request import (
     CallResult,
@@ -102,7 +102,7 @@
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
         self._ledger = RunLedger(clock, instance, boot)
-        self._deep_cuts = HintTable(clock)
+        self._deep_cuts = ThresholdCache(clock)
         self._counters = counters
         self._random = random
         self._upstream: UpstreamClient | None = None
@@ -149,7 +149,7 @@
 
     def cut(self, operation: str) -> float:
         """Return the threshold to announce: the guard's or a deeper one."""
-        return min(self._admission.cut, self._deep_cuts.cut(operation, ""))
+        return min(self._admission.cut, self._deep_cuts.threshold(operation, ""))
 
     def leave(self) -> None:
         """Take no new work."""
@@ -246,7 +246,7 @@
     ) -> CallResult:
         if self._upstream is None:
             return self._refusal(request, Reason.NO_INSTANCE, record)
-        if request.rank >= self._deep_cuts.cut(request.operation, ""):
+        if request.rank >= self._deep_cuts.threshold(request.operation, ""):
             return self._refusal(request, Reason.SHED_EARLY, record)
         self._next_key += 1
         waiter = Waiter(
@@ -310,7 +310,7 @@
                 )
             succeeded = True
             self._refused_in_a_row = 0
-            self._deep_cuts.hear(request.operation, "", context.deep_cut)
+            self._deep_cuts.update(request.operation, "", context.deep_cut)
             result = answered(context, answer)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
--- a/packages/rattanfork-node/rattanfork_node/http1/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/pool.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.connections import RestLimit
+from rattanfork_core.connections import IdleLimit
 
 from rattanfork_node.http1.upstream import UpstreamConnection
 
@@ -50,7 +50,7 @@
         self._open: set[UpstreamConnection] = set()
         self._connecting: set[asyncio.Task] = set()
         self._closed = False
-        self._rest = RestLimit(clock)
+        self._rest = IdleLimit(clock)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -148,7 +148,7 @@
     def _usable_for(
         self, connection: UpstreamConnection, repeatable: bool = True
     ) -> float:
-        return self._rest.seconds(connection.keep_for, repeatable)
+        return self._rest.max_idle(connection.keep_for, repeatable)
 
     async def _connect(
         self, taken: Callable[[UpstreamConnection | None], None]
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -5,7 +5,7 @@
 
 from rattanfork_core.account import Account
 from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.request import (
     CallResult,
@@ -71,7 +71,7 @@
         Connections to other nodes.
     guard : Guard
         This node's own guard.
-    hints : HintTable
+    hints : ThresholdCache
         Where thresholds heard on replies are kept.
     epochs : EpochBook
         Where the guards' epochs of keys are kept.
@@ -84,7 +84,7 @@
         directory: Directory,
         pool: PeerPool,
         guard: Guard,
-        hints: HintTable,
+        hints: ThresholdCache,
         epochs: EpochBook,
     ) -> None:
         self._clock = clock
@@ -171,7 +171,7 @@
         number = link.next_number()
         sent[command.attempt] = _Sent(link, number)
         reply = await link.ask(self._call(job, command, member, number))
-        self._hints.hear(job.hint_key, member.name, reply.cut)
+        self._hints.update(job.hint_key, member.name, reply.cut)
         self._epochs.hear(member.name, reply.epoch)
         return CallResult(
             Outcome(reply.outcome),
@@ -207,7 +207,9 @@
                 _always,
             )
         )
-        self._hints.hear(job.hint_key, member.name, self._guard.cut(incoming.operation))
+        self._hints.update(
+            job.hint_key, member.name, self._guard.cut(incoming.operation)
+        )
         return result
 
     def _call(self, job: Job, command: SendCall, member: Member, number: int) -> Call:
@@ -281,16 +283,16 @@
 
 
 def blocked_instances(
-    picker: InstancePicker, hints: HintTable, hint_key: str, rank: float
+    picker: InstancePicker, hints: ThresholdCache, hint_key: str, rank: float
 ) -> tuple[frozenset[str], float]:
     """Return the instances that would shed a rank, and the highest cut."""
     highest = 0.0
     blocked = []
     for state in picker.subset:
-        if state.failures > _MOSTLY_FAILING:
+        if state.failure_rate > _MOSTLY_FAILING:
             # What it last said of its threshold died with it.
             continue
-        cut = hints.cut(hint_key, state.name)
+        cut = hints.threshold(hint_key, state.name)
         highest = max(highest, cut)
         if rank >= cut:
             blocked.append(state.name)
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -8,7 +8,7 @@
 from rattanfork_core.atmostonce import TicketError, TicketMint
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_core.request import (
     CallResult,
@@ -58,7 +58,7 @@
         directory: Directory,
         dispatcher: Dispatcher,
         guard: Guard,
-        hints: HintTable,
+        hints: ThresholdCache,
         mint: TicketMint,
         counters: Counters,
         burn: BurnMeter,
@@ -236,7 +236,7 @@
 
     def _probe(self, picker: InstancePicker, hint_key: str, rank: float) -> str | None:
         for state in picker.subset:
-            if self._hints.may_probe(hint_key, state.name, rank):
+            if self._hints.allow_probe(hint_key, state.name, rank):
                 return state.name
         return None
 
@@ -348,7 +348,7 @@
     """Return the instances that a rule rules out by their data centre."""
     if data_centre is None:
         return _NOBODY
-    return picker.outside(data_centre)
+    return picker.instances_outside(data_centre)
 
 
 def _nobody(avoid: frozenset[str]) -> str | None:
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
@@ -52,7 +52,7 @@
     async def issue_many(self, service: str, count: int) -> list[str]:
         """Return keys spread over the instances of a service."""
         picker = self._directory.picker(service)
-        names = picker.spread(count) if picker is not None else []
+        names = picker.pick_weighted(count) if picker is not None else []
         found = {name: self._directory.member(name) for name in set(names)}
         members = [member for member in found.values() if member is not None]
         epochs = await asyncio.gather(*(self._epoch(member) for member in members))
--- a/packages/rattanfork-node/rattanfork_node/member/directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/directory.py
@@ -94,7 +94,7 @@
                     me.data_centre,
                     self._clock,
                     self._random,
-                    local_load=self._local_load,
+                    local_load_limit=self._local_load,
                 )
                 self._pickers[service] = picker
             picker.update(states)
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_news.py
@@ -1,6 +1,6 @@
 """Tells the fleet how this node's gate fares, and passes on what others tell."""
 
-from rattanfork_core.gate_status import MOST_REPORTERS, GateReports
+from rattanfork_core.gate_status import MAX_REPORTERS, GateReportTable
 from rattanfork_core.membership import GateNews, Member, Membership, duty_group
 
 from rattanfork_node.member.task import MemberTask
@@ -18,7 +18,7 @@
     Parameters
     ==========
 
-    reports : GateReports
+    reports : GateReportTable
         What is known.
     membership : Membership
         Who is there.
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        reports: GateReports,
+        reports: GateReportTable,
         membership: Membership,
         member_task: MemberTask,
         gate: Gate,
@@ -42,7 +42,7 @@
         self._view = -1
         self._tells_threshold = False
         self._impaired = False
-        member_task.on_reports = reports.hear
+        member_task.on_reports = reports.merge
 
     def tick(self) -> None:
         """Report on the own gate and pass news on; call ten times a second."""
@@ -50,7 +50,7 @@
             self._regroup()
         if self._gate.accepting:
             self._report()
-        told = self._reports.news()
+        told = self._reports.take_fresh()
         if told:
             self._member_task.pass_on(GateNews(told), _TOLD)
 
@@ -61,13 +61,13 @@
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
         cut = gate.own_cut if self._tells_threshold else None
-        self._reports.report(self._membership.me.service, cut, impaired)
+        self._reports.update_own(self._membership.me.service, cut, impaired)
 
     def _regroup(self) -> None:
         self._view = self._membership.version
         me = self._membership.me
         names = [m.name for m in self._membership.present() if _serves(m, me.service)]
-        reporters = duty_group(names, "thresholds", MOST_REPORTERS)
+        reporters = duty_group(names, "thresholds", MAX_REPORTERS)
         self._tells_threshold = me.name in reporters
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/task.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import ServiceReports
+from rattanfork_core.gate_status import ReportsByService
 from rattanfork_core.membership import (
     CrashUpdate,
     DirectMessage,
@@ -84,7 +84,7 @@
         #: Take requests and replies of other nodes, by their type.
         self.direct: dict[type, Callable[[DirectMessage, tuple[str, int]], None]] = {}
         #: Told of reports of gates that others pass on.
-        self.on_reports: Callable[[ServiceReports], None] = _ignore
+        self.on_reports: Callable[[ReportsByService], None] = _ignore
         #: Told of crashes of upstreams that others pass on.
         self.on_crashes: Callable[[CrashUpdate], None] = _ignore
 
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_directory.py
@@ -22,11 +22,11 @@
     directory = Directory(clock, Random(1), membership)
     membership.merge([record("other")])
     state = directory.picker("s").states["other@b"]
-    state.latency, state.failures = 0.5, 0.9
+    state.latency, state.failure_rate = 0.5, 0.9
     membership.merge([record("other", incarnation=1, slots=9)])
     state = directory.picker("s").states["other@b"]
     assert (state.latency, state.slots) == (0.5, 9)
     clock.advance(5.0)
     membership.merge([record("other", incarnation=2, succession=1)])
     state = directory.picker("s").states["other@b"]
-    assert (state.latency, state.failures, state.known_since) == (0.0, 0.0, 105.0)
+    assert (state.latency, state.failure_rate, state.known_since) == (0.0, 0.0, 105.0)
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_news.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.gate_status import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import GateNews, Member, Membership
 from rattanfork_node.member.gate_news import GateNewsTask
 
@@ -28,7 +28,7 @@
         me = record("n0")
         self.membership = Membership(self.clock, Random(1), me)
         self.membership.merge(record(f"n{n}") for n in range(1, size))
-        self.reports = GateReports(self.clock, me.name)
+        self.reports = GateReportTable(self.clock, me.name)
         self.sent = Sent()
         self.gate = SimpleNamespace(
             accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
@@ -92,9 +92,9 @@
 
 def test_what_others_tell_is_passed_on():
     world = World()
-    other = GateReports(world.clock, "far@b")
-    other.report("deep", 1.0, impaired=True)
-    world.sent.on_reports(other.news())
+    other = GateReportTable(world.clock, "far@b")
+    other.update_own("deep", 1.0, impaired=True)
+    world.sent.on_reports(other.take_fresh())
     world.tick()
     assert "deep" in world.sent.news[0][0].reports
 
--- a/packages/rattanfork-node/rattanfork_node/relay/departure.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/departure.py
@@ -46,5 +46,5 @@
         left = self._ends_at - now
         if route.timeout <= left:
             return True
-        usual = picker.usual_latency
+        usual = picker.slowest_latency
         return now <= self._serves_until and 0.0 < _USUAL_TIMES * usual <= left
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -165,7 +165,7 @@
             # Cut off by the timeout, the next attempt would have to be called
             # one that may have run; now it is known that nothing has.
             left = admitted.deadline - self._relay.clock.now()
-            return left > admitted.picker.best_latency
+            return left > admitted.picker.fastest_latency
         # The gate that is asked next decides on a repeated arrival.
         return self._denied < _MOST_DENIED
 
@@ -306,7 +306,7 @@
             self._arrived = True
             self._carry_out(self._machine.on_link_lost(attempt))
             return
-        self._relay.early.hear(self._admitted.operation, name, reply.cut)
+        self._relay.early.update(self._admitted.operation, name, reply.cut)
         if self._state is not None:
             self._state.busy = reply.busy
         result = CallResult(
@@ -341,7 +341,7 @@
     def _note_reach(self, result: CallResult) -> None:
         admitted = self._admitted
         if self._parent is None:
-            self._relay.reach.on_run(admitted.operation, result.reach)
+            self._relay.reach.record_run(admitted.operation, result.reach)
         else:
             self._parent.reached.add(admitted.service)
             self._parent.reached.update(result.reach)
@@ -355,7 +355,7 @@
             now = self._relay.clock.now()
             state.on_done(now, self._sent_at, failed, operation)
         else:
-            state.on_withdrawn(self._sent_at)
+            state.on_inconclusive(self._sent_at)
 
     def _note(self, reason: Reason, status: int = 0) -> None:
         """Keep what an attempt came to, for the log; only its first end counts."""
@@ -368,7 +368,7 @@
     def _cancel(self) -> None:
         self._note(Reason.CANCELLED)
         if self._state is not None:
-            self._state.on_withdrawn(self._sent_at)
+            self._state.on_inconclusive(self._sent_at)
             self._state = None
         if self._job is not None:
             self._relay.gate.cancel(self._job)
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -11,7 +11,11 @@
     Waiter,
 )
 from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import ChainReach, HintTable, UpstreamHealth
+from rattanfork_core.gate_status import (
+    OperationDependencies,
+    ThresholdCache,
+    UpstreamHealth,
+)
 from rattanfork_core.quarantine import Quarantine, SuspectTracker
 from rattanfork_core.request import CallResult, Outcome, Reason
 
@@ -122,11 +126,11 @@
             ),
         )
         #: Thresholds that runs of the upstream have met at the services they call.
-        self._deeper = HintTable(clock)
+        self._deeper = ThresholdCache(clock)
         #: Whether the upstream fails or has become slow.
         self.health = UpstreamHealth(clock)
         #: Services that runs of the upstream reach, as their own calls show.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
         self._next_key = 0
@@ -211,7 +215,7 @@
 
     def cut(self, operation: str) -> float:
         """Return the threshold to announce: the gate's or a deeper one."""
-        return min(self._admission.cut, self._deeper.cut(operation, _HERE))
+        return min(self._admission.cut, self._deeper.threshold(operation, _HERE))
 
     def submit(self, job: Job) -> None:
         """Take a request; its ``done`` is called once."""
@@ -399,12 +403,12 @@
             lost = result.reason in _LOST
             self.grants.on_attempt(lost)
             self.health.on_ended(
-                job.waiter.key, lost, counts=result.reason is not Reason.CANCELLED
+                job.waiter.key, lost, conclusive=result.reason is not Reason.CANCELLED
             )
         if succeeded:
             self._note_reach(job, result)
         if job.heard_cut != float("inf"):
-            self._deeper.hear(job.operation, _HERE, job.heard_cut)
+            self._deeper.update(job.operation, _HERE, job.heard_cut)
         self._finish(job, result)
         self._apply(self._admission.finish(job.waiter.key, succeeded))
 
@@ -413,7 +417,7 @@
             fingerprint = job.fingerprint
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
-            self.reach.on_run(job.operation, job.reached)
+            self.reach.record_run(job.operation, job.reached)
         result.reach = self.reach.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -9,11 +9,11 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import (
-    ChainReach,
-    ChainThresholds,
-    EarlyRefusal,
-    GateReports,
-    HintTable,
+    CallChainThresholds,
+    EarlyShedder,
+    GateReportTable,
+    OperationDependencies,
+    ThresholdCache,
 )
 from rattanfork_core.membership import Membership
 from rattanfork_core.quarantine import Quarantine
@@ -98,7 +98,7 @@
         What happened.
     journal : Journal
         Told what was decided on each request.
-    reports : GateReports
+    reports : GateReportTable
         What the gates of the fleet tell.
     quarantine : Quarantine
         Knows the requests that no upstream may run.
@@ -120,7 +120,7 @@
         gate: Gate,
         counters: Counters,
         journal: Journal,
-        reports: GateReports,
+        reports: GateReportTable,
         quarantine: Quarantine,
         accounts: ClientAccounts,
     ) -> None:
@@ -131,11 +131,11 @@
         self.gate = gate
         self.counters = counters
         self.quarantine = quarantine
-        self.early = EarlyRefusal(clock)
+        self.early = EarlyShedder(clock)
         #: Services behind the operations that callers ask for here.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._reports = reports
-        self._chain = ChainThresholds(reports, self.reach, directory.size)
+        self._chain = CallChainThresholds(reports, self.reach, directory.size)
         self.my_name = membership.me.name
         self._journal = journal
         self._accounts = accounts
@@ -223,7 +223,7 @@
                 )
                 return
             if verdict.data_centre is not None:
-                elsewhere = picker.outside(verdict.data_centre)
+                elsewhere = picker.instances_outside(verdict.data_centre)
         if self._departure is not None and not self._departure.takes(route, picker):
             after = self._settings.retry_after
             self._refusals.refuse(exchange, Reason.LEAVING, after, route=route.name)
@@ -231,7 +231,7 @@
         rank = rank_of_request(exchange, route, rule_decides)
         operation = self.operation(route, service)
         blocked = None
-        if rank < self._chain.cut(operation, service):
+        if rank < self._chain.threshold(operation, service):
             blocked = self._blocked(picker, route, service, rank)
         if blocked is None:
             self._refusals.refuse(
@@ -240,8 +240,8 @@
                 self._return_after(rank),
                 route=route.name,
                 rank=round(rank, 3),
-                thresholds=self.early.told(picker, operation),
-                chain=self._chain.told(operation, service),
+                thresholds=self.early.thresholds(picker, operation),
+                chain=self._chain.thresholds_by_service(operation, service),
             )
             return
         self._forward(
@@ -252,12 +252,14 @@
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
         """Return the instances to leave out for a rank; None if all would shed it."""
-        blocked = self.early.blocked(picker, self.operation(route, service), rank)
+        blocked = self.early.shedding_instances(
+            picker, self.operation(route, service), rank
+        )
         if blocked is None or not len(self._reports):
             return blocked
         shedding = set()
         for state in picker.subset:
-            cut, state.impaired_until = self._reports.about(service, state.name)
+            cut, state.impaired_until = self._reports.gate_state(service, state.name)
             if cut <= rank:
                 shedding.add(state.name)
         # Each gate may be asked if all shed: it judges for itself.
@@ -276,7 +278,7 @@
         key = (route.name, service)
         name = self._operations.get(key)
         if name is None:
-            if len(self._operations) > 4 * HintTable.MOST_HINTS:
+            if len(self._operations) > 4 * ThresholdCache.MAX_ENTRIES:
                 self._operations.clear()
             name = self._operations[key] = f"{route.name}/{service}"
         return name
@@ -378,13 +380,13 @@
             service,
             exchange.method.decode("latin-1"),
             exchange.account_name or self._settings.service,
-            self.early.pressure(picker, self.operation(route, service)),
+            self.early.shed_share(picker, self.operation(route, service)),
         )
 
     def _pass_up(self, parent: Job, admitted: Admitted, result: CallResult) -> None:
         operation, picker = admitted.operation, admitted.picker
         own_cut = self.gate.cut(operation)
-        cut = self.early.highest(picker, operation, self.my_name, own_cut)
+        cut = self.early.highest_threshold(picker, operation, self.my_name, own_cut)
         if cut is not None:
             parent.heard_cut = min(parent.heard_cut, cut)
         if result.status < 200 or result.status >= 300:
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -7,7 +7,7 @@
 from rattanfork_core.account import RepeatGrants
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.gate_status import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.objectives import RouteObjectives
 from rattanfork_core.quarantine import Quarantine
@@ -296,7 +296,7 @@
         )
         self.rules = RevisionState()
         self.rules.hear_from_store(None)
-        self.reports = GateReports(self.clock, me.name)
+        self.reports = GateReportTable(self.clock, me.name)
         self.relay = Relay(
             self.clock,
             Random(1),
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -3,7 +3,7 @@
 import asyncio
 import gc
 
-from rattanfork_core.gate_status import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
 from rattanfork_node.http1 import Exchange
@@ -158,7 +158,7 @@
     world = RelayWorld(peers=1)
     world.ask()
     world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
-    world.reports.report("deep", 1.5, impaired=False)
+    world.reports.update_own("deep", 1.5, impaired=False)
     exchange = world.ask(request_id="r2")
     assert exchange.output[0] == 503
     assert world.log.lines[-1]["chain"] == {"t": 5.0, "deep": 1.5}
@@ -170,9 +170,9 @@
 async def test_a_call_goes_to_a_gate_that_does_not_shed_it():
     """One of two gates has told the fleet that it sheds; the other has room."""
     world = RelayWorld(peers=2)
-    told = GateReports(world.clock, world.links[0].peer)
-    told.report("t", 1.0, impaired=False)
-    world.reports.hear(told.news())
+    told = GateReportTable(world.clock, world.links[0].peer)
+    told.update_own("t", 1.0, impaired=False)
+    world.reports.merge(told.take_fresh())
     for number in range(10):
         world.ask(request_id=f"r{number}")
     assert not world.links[0].runs
