--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_upstream_health.py
@@ -106,5 +106,5 @@
     health = UpstreamHealth(clock)
     for key in range(20):
         health.on_started(key, "read")
-        health.on_ended(key, failed=True, conclusive=False)
+        health.on_ended(key, failed=True, counts=False)
         assert not health.impaired
--- a/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
@@ -111,7 +111,7 @@
             self._pace += 1.0 / usual
         self._running[key] = (operation, self._clock.now(), usual)
 
-    def on_ended(self, key: int, failed: bool, conclusive: bool = True) -> None:
+    def on_ended(self, key: int, failed: bool, counts: bool = True) -> None:
         """Take note that a run has ended.
 
         Parameters
@@ -131,7 +131,7 @@
         operation, begun, usual = run
         if usual:
             self._pace -= 1.0 / usual
-        if not conclusive:
+        if not counts:
             return
         if usual:
             self._ended += 1.0
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -403,7 +403,7 @@
             lost = result.reason in _LOST
             self.grants.on_attempt(lost)
             self.health.on_ended(
-                job.waiter.key, lost, conclusive=result.reason is not Reason.CANCELLED
+                job.waiter.key, lost, counts=result.reason is not Reason.CANCELLED
             )
         if succeeded:
             self._note_reach(job, result)
