--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from rattanfork_core.hints import GateReport, ServiceReports
+from rattanfork_core.gate_status import GateReport, ReportsByService
 from rattanfork_core.membership.cached_versions import CachedVersions
 from rattanfork_core.membership.direct_messages import (
     DIRECT_KINDS,
@@ -56,7 +56,7 @@
 class GateUpdate(NamedTuple):
     """Tells what gates have reported, by service; nobody answers it."""
 
-    reports: ServiceReports
+    reports: ReportsByService
 
 
 class CrashUpdate(NamedTuple):
