--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -181,7 +181,7 @@
             log_change(
                 "configuration_in_force", version=self._holder.version, source=source
             )
-            self._membership.hasten()
+            self._membership.schedule_push()
         return changed
 
     def _set_store_reachable(self, reachable: bool, error: str) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from rattanfork_core.membership import NEVER, DutyRoster, HeldVersions
+from rattanfork_core.membership import UNKNOWN_AGE_MS, CachedVersions, RoleAssignment
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_platform import PlatformDownError
 
@@ -41,7 +41,7 @@
         Source of the choice of members to notify.
     schedule : ConfirmationSchedule
         Decides when to poll.
-    roster : DutyRoster
+    roster : RoleAssignment
         Group of nodes that take turns polling the store.
     gossip_task : GossipTask
         Sends the confirmation to other members.
@@ -55,7 +55,7 @@
         self,
         random: Random,
         schedule: ConfirmationSchedule,
-        roster: DutyRoster,
+        roster: RoleAssignment,
         gossip_task: GossipTask,
         replicas: Sequence[StoreReplica],
         counters: Counters,
@@ -86,14 +86,14 @@
 
     def confirm_soon(self) -> None:
         """Poll the store soon, even if another node has just done so."""
-        self._schedule.hasten()
+        self._schedule.schedule_now()
 
     def confirmation_age_ms(self) -> int:
-        """Return the confirmation age in ms to gossip; NEVER if there is none."""
+        """Return the confirmation age in ms to gossip; UNKNOWN_AGE_MS if none."""
         known = self._schedule.confirmed and not self._outdated()
-        return int(self._schedule.age * 1000) if known else NEVER
+        return int(self._schedule.age * 1000) if known else UNKNOWN_AGE_MS
 
-    def on_held_versions(self, held: HeldVersions) -> None:
+    def on_held_versions(self, held: CachedVersions) -> None:
         """Adopt the confirmation age of another node if it applies here."""
         task = self._gossip_task
         older = (
@@ -102,13 +102,17 @@
         )
         # A confirmation of an older version proves nothing about the newest.  A
         # node that is outdated polls for itself until it has caught up.
-        if held.confirmed != NEVER and not older and not self._outdated():
-            self._schedule.hear(held.confirmed / 1000)
+        if (
+            held.confirmation_age_ms != UNKNOWN_AGE_MS
+            and not older
+            and not self._outdated()
+        ):
+            self._schedule.on_confirmation(held.confirmation_age_ms / 1000)
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(
-                _GROUP_TICK_S if self._roster.mine else _OUTSIDER_TICK_S
+                _GROUP_TICK_S if self._roster.includes_self else _OUTSIDER_TICK_S
             )
             self._report_age()
             if self._roster.version != self._roster_version:
@@ -140,7 +144,9 @@
     def _update_group(self) -> None:
         roster = self._roster
         self._roster_version = roster.version
-        self._schedule.join(len(roster.names), roster.fleet, roster.mine)
+        self._schedule.set_group(
+            len(roster.names), roster.fleet_size, roster.includes_self
+        )
 
     def _report_age(self) -> None:
         confirmed = self._schedule.age < _UNCONFIRMED_AFTER_S
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -5,12 +5,12 @@
 from random import Random
 
 from rattanfork_core.membership import (
-    NEVER,
-    DutyRoster,
+    UNKNOWN_AGE_MS,
     LeaseReply,
     LeaseRequest,
     Member,
     Membership,
+    RoleAssignment,
 )
 from rattanfork_core.revision import ConfigurationLease
 
@@ -52,7 +52,7 @@
         Holder of the configuration in force.
     membership : Membership
         Membership view of this node.
-    roster : DutyRoster
+    roster : RoleAssignment
         Readers, which take turns polling the store.
     gossip_task : GossipTask
         Sends and receives gossip messages.
@@ -66,7 +66,7 @@
         lease: ConfigurationLease,
         configuration: ConfigurationHolder,
         membership: Membership,
-        roster: DutyRoster,
+        roster: RoleAssignment,
         gossip_task: GossipTask,
         ask_store: Callable[[], None],
     ) -> None:
@@ -92,13 +92,13 @@
     def on_confirmation_age(self, sender: Member, age: int) -> None:
         """Record the confirmation age of a peer, in milliseconds."""
         confirmed_at = self._lease.now() - age / 1000
-        if age != NEVER and confirmed_at > self._freshest_confirmed_at:
+        if age != UNKNOWN_AGE_MS and confirmed_at > self._freshest_confirmed_at:
             self._freshest_peer, self._freshest_confirmed_at = sender, confirmed_at
 
     def on_request(self, request: LeaseRequest, address: tuple[str, int]) -> None:
         """Reply with the age of the local lease."""
         age = self._lease.age
-        milliseconds = ceil(age * 1000) if isfinite(age) else NEVER
+        milliseconds = ceil(age * 1000) if isfinite(age) else UNKNOWN_AGE_MS
         version = self._configuration.version
         self._gossip_task.send(
             LeaseReply(request.number, version, milliseconds), address
@@ -109,7 +109,7 @@
         if reply.version > self._configuration.version:
             # The peer confirms a configuration that this node does not hold yet.
             self._gossip_task.observe_configuration(reply.version)
-        elif reply.age != NEVER and self._lease.on_reply(
+        elif reply.age != UNKNOWN_AGE_MS and self._lease.on_reply(
             reply.number, reply.age / 1000
         ):
             self.on_renewed()
@@ -131,10 +131,12 @@
                 0.8, 1.2
             )
             for member in self._renewal_peers(now - age):
-                number = self._lease.ask()
+                number = self._lease.start_request()
                 self._gossip_task.send(LeaseRequest(number), member.address)
         store_after_s = (
-            _READER_STORE_AFTER_S if self._roster.mine else _OTHER_STORE_AFTER_S
+            _READER_STORE_AFTER_S
+            if self._roster.includes_self
+            else _OTHER_STORE_AFTER_S
         )
         if age > store_after_s and now >= self._next_store_request:
             self._next_store_request = now + self._random.uniform(0.5, 1.5)
--- a/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.membership import Member, Membership, on_duty
-from rattanfork_core.revision import ReadSchedule, RevisionState, RulesRecord
+from rattanfork_core.membership import Member, Membership, holds_role
+from rattanfork_core.revision import PollSchedule, RevisionState, RulesRecord
 from rattanfork_core.revision.record import HEAD_KEY, history_key
 from rattanfork_core.rules import FindingsError, RuleSet, load_rules
 from rattanfork_core.settings import RulesSettings
@@ -76,9 +76,9 @@
         self._counters = counters
         self._newest_revision = newest_revision
         self._on_changed = on_changed
-        self._table_schedule = ReadSchedule(clock, random, settings.read_interval)
-        self._peer_schedule = ReadSchedule(
-            clock, random, _PEER_POLL_INTERVAL_S, longest=1.0
+        self._table_schedule = PollSchedule(clock, random, settings.read_interval)
+        self._peer_schedule = PollSchedule(
+            clock, random, _PEER_POLL_INTERVAL_S, max_interval=1.0
         )
         self._background: set[asyncio.Task] = set()
 
@@ -95,7 +95,7 @@
 
     def read_soon(self) -> None:
         """Bring the next table read forward, after a change by an operator."""
-        self._table_schedule.hasten()
+        self._table_schedule.schedule_now()
         if self._platform is not None and self._table_schedule.due():
             self._table_schedule.begin()
             self._spawn(self._poll_table())
@@ -117,14 +117,14 @@
             for m in self._membership.present()
             if m.data_centre == me.data_centre
         )
-        return on_duty(me.name, local_names, "rules", self._settings.readers)
+        return holds_role(me.name, local_names, "rules", self._settings.readers)
 
     async def _poll_table(self) -> None:
         succeeded = False
         try:
             record = await self._read_newer_record()
             rules = await self._parse_rules(record)
-            self._report_change(self._state.hear_from_store(record, rules), "table")
+            self._report_change(self._state.receive_from_store(record, rules), "table")
             succeeded = True
         except PlatformDownError:
             self._counters.events["table.unanswered"] += 1
@@ -186,7 +186,7 @@
         newer = record if reply.text else None
         rules = await self._parse_rules(newer)
         self._report_change(
-            self._state.hear_from_peer(data_centre, newer, rules), "peer"
+            self._state.receive_from_peer(data_centre, newer, rules), "peer"
         )
 
     def _report_change(self, changed: bool, source: str) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -5,7 +5,12 @@
 
 import pytest
 from rattanfork_core.clock import ManualClock, MonotonicClock
-from rattanfork_core.membership import NEVER, DutyRoster, HeldVersions, Membership
+from rattanfork_core.membership import (
+    UNKNOWN_AGE_MS,
+    CachedVersions,
+    Membership,
+    RoleAssignment,
+)
 from rattanfork_core.revision import ConfirmationSchedule
 from rattanfork_platform import PlatformDownError
 
@@ -60,7 +65,7 @@
         self.task = ConfirmationTask(
             Random(1),
             ConfirmationSchedule(self.clock, Random(1)),
-            DutyRoster(self.membership, "confirmation", 4),
+            RoleAssignment(self.membership, "confirmation", 4),
             self.gossip_task,
             (self.replica, self.other_replica),
             self.counters,
@@ -72,7 +77,7 @@
             gossip_task.newest_configuration, configuration
         )
         gossip_task.newest_rules = max(gossip_task.newest_rules, rules)
-        self.task.on_held_versions(HeldVersions(configuration, rules, confirmed))
+        self.task.on_held_versions(CachedVersions(configuration, rules, confirmed))
 
 
 def test_confirmation_of_the_newest_version_is_adopted():
@@ -91,7 +96,7 @@
     """
     harness = Harness()
     harness.clock.advance(0.5)
-    assert harness.task.confirmation_age_ms() == NEVER
+    assert harness.task.confirmation_age_ms() == UNKNOWN_AGE_MS
     harness.receive(configuration=7, confirmed=200)
     assert harness.task.confirmation_age_ms() == 200
 
@@ -104,10 +109,10 @@
     """
     harness = Harness()
     harness.clock.advance(5.0)
-    harness.receive(configuration=8, confirmed=NEVER)
+    harness.receive(configuration=8, confirmed=UNKNOWN_AGE_MS)
     harness.receive(configuration=7, confirmed=0)
     assert harness.task.age == 5.0
-    harness.receive(configuration=8, rules=2, confirmed=NEVER)
+    harness.receive(configuration=8, rules=2, confirmed=UNKNOWN_AGE_MS)
     harness.receive(configuration=8, rules=1, confirmed=0)
     assert harness.task.age == 5.0
 
@@ -119,7 +124,7 @@
     harness.replica.is_outdated = True
     harness.receive(configuration=8, confirmed=100)
     assert harness.task.age == 5.0
-    assert harness.task.confirmation_age_ms() == NEVER
+    assert harness.task.confirmation_age_ms() == UNKNOWN_AGE_MS
 
 
 def run_until(harness: Harness, condition) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -8,10 +8,10 @@
 import orjson
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import (
-    DutyRoster,
     Membership,
     MemberStatus,
-    duty_group,
+    RoleAssignment,
+    role_holders,
 )
 from rattanfork_core.revision import RevisionState, RulesRecord
 from rattanfork_core.revision.record import HEAD_KEY
@@ -78,7 +78,7 @@
         platform: RestoredPlatform | None = None,
     ) -> None:
         members = [member(f"n{number}") for number in range(others + 1)]
-        turns = duty_group([m.name for m in members], "confirmation", readers)
+        turns = role_holders([m.name for m in members], "confirmation", readers)
         me = next(m for m in members if m.name == turns[turn])
         self.platform = platform or RestoredPlatform()
         self.membership = Membership(ManualClock(), Random(1), me)
@@ -91,7 +91,7 @@
         self.task = RestoreTask(
             Random(1),
             self.platform,
-            DutyRoster(self.membership, "confirmation", readers),
+            RoleAssignment(self.membership, "confirmation", readers),
             self.membership,
             self.rules,
             self.persist_quarantine,
@@ -172,7 +172,7 @@
         Harness(others=299, turn=n, readers=20, platform=platform) for n in range(20)
     ]
     for harness in harnesses:
-        harness.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+        harness.rules.receive_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
         harness.task.start()
     await asyncio.sleep(0.05)
     platform.current_era += 1
@@ -237,7 +237,7 @@
 @with_short_delays
 async def test_rules_in_force_replace_older_stored_rules():
     harness = Harness()
-    harness.rules.hear_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
+    harness.rules.receive_from_store(RulesRecord(2, "op2", "ann", "", TEXT, era=1))
     harness.platform.write(HEAD_KEY, RulesRecord(1, "op1", "ann", "", "", 1).as_row())
     await harness.restore()
     await wait_until(lambda: "rules/history/00000002" in harness.platform.rows)
@@ -252,7 +252,7 @@
     Its revision is lower than the one in force, but its era is newer.
     """
     harness = Harness()
-    harness.rules.hear_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
+    harness.rules.receive_from_store(RulesRecord(7, "op7", "ann", "", TEXT, era=1))
     accepted = RulesRecord(5, "op5", "ann", "", "", era=2).as_row()
     harness.platform.write(HEAD_KEY, accepted)
     await harness.restore()
--- a/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
@@ -1,7 +1,7 @@
 """Gossip of admission thresholds and impaired upstreams."""
 
-from rattanfork_core.hints import MOST_REPORTERS, GateReports
-from rattanfork_core.membership import GateNews, Member, Membership, duty_group
+from rattanfork_core.gate_status import MAX_REPORTERS, GateReportTable
+from rattanfork_core.membership import GateUpdate, Member, Membership, role_holders
 
 from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.relay.gate import Gate
@@ -20,7 +20,7 @@
     Parameters
     ==========
 
-    reports : GateReports
+    reports : GateReportTable
         Reports known to this node.
     membership : Membership
         Membership view of this node.
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        reports: GateReports,
+        reports: GateReportTable,
         membership: Membership,
         gossip_task: GossipTask,
         gate: Gate,
@@ -44,7 +44,7 @@
         self._membership_version = -1
         self._reports_threshold = False
         self._impaired = False
-        gossip_task.on_gate_reports = reports.hear
+        gossip_task.on_gate_reports = reports.merge
 
     def tick(self) -> None:
         """Report the local gate and send due reports; call ten times a second."""
@@ -52,9 +52,9 @@
             self._update_reporters()
         if self._gate.accepting:
             self._report_own_gate()
-        reports = self._reports.news()
+        reports = self._reports.take_fresh()
         if reports:
-            self._gossip_task.send_to_random(GateNews(reports), _FANOUT)
+            self._gossip_task.send_to_random(GateUpdate(reports), _FANOUT)
 
     def _report_own_gate(self) -> None:
         gate = self._gate
@@ -62,8 +62,8 @@
         if impaired != self._impaired:
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
-        cut = gate.own_cut if self._reports_threshold else None
-        self._reports.report(self._membership.me.service, cut, impaired)
+        cut = gate.own_threshold if self._reports_threshold else None
+        self._reports.update_own(self._membership.me.service, cut, impaired)
 
     def _update_reporters(self) -> None:
         self._membership_version = self._membership.version
@@ -71,7 +71,7 @@
         names = [
             m.name for m in self._membership.present() if _is_instance_of(m, me.service)
         ]
-        reporters = duty_group(names, "thresholds", MOST_REPORTERS)
+        reporters = role_holders(names, "thresholds", MAX_REPORTERS)
         self._reports_threshold = me.name in reporters
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -5,13 +5,13 @@
 from random import Random
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import ServiceReports
+from rattanfork_core.gate_status import ReportsByService
 from rattanfork_core.membership import (
+    CachedVersions,
     CrashUpdate,
     DirectMessage,
-    GateNews,
+    GateUpdate,
     GossipUpdate,
-    HeldVersions,
     Member,
     Membership,
     Send,
@@ -78,7 +78,7 @@
         self.configuration_source: Member | None = None
         self.rules_source: Member | None = None
         #: Called with the versions held by the sender of each message.
-        self.on_held_versions: Callable[[HeldVersions], None] = _ignore
+        self.on_held_versions: Callable[[CachedVersions], None] = _ignore
         #: Called with the sender and the age in ms of its store confirmation.
         self.on_confirmation_age: Callable[[Member, int], None] = _ignore_pair
         #: Handlers of requests and replies between two nodes, by message type.
@@ -86,7 +86,7 @@
             type, Callable[[DirectMessage, tuple[str, int]], None]
         ] = {}
         #: Called with gate reports from other nodes.
-        self.on_gate_reports: Callable[[ServiceReports], None] = _ignore
+        self.on_gate_reports: Callable[[ReportsByService], None] = _ignore
         #: Called with crash reports from other nodes.
         self.on_crash_update: Callable[[CrashUpdate], None] = _ignore
 
@@ -119,11 +119,11 @@
 
     def introduce(self) -> None:
         """Announce this node to the other members."""
-        self._send_all(self._membership.introduce())
+        self._send_all(self._membership.announce_self())
 
     def push_held_versions(self, names: Iterable[str]) -> None:
         """Send the versions that this node holds to the given members at once."""
-        self._send_all(self._membership.tell(names))
+        self._send_all(self._membership.ping_members(names))
 
     def leave(self) -> None:
         """Announce that this node accepts no new requests."""
@@ -136,7 +136,7 @@
         except ValueError:
             self._counters.events["gossip.refused"] += 1
             return
-        if isinstance(message, GateNews):
+        if isinstance(message, GateUpdate):
             self.on_gate_reports(message.reports)
             return
         if isinstance(message, CrashUpdate):
@@ -146,13 +146,13 @@
         if direct is not None:
             direct(message, addr)
             return
-        self._record_held_versions(message.sender, message.held)
+        self._record_held_versions(message.sender, message.versions)
         self._send_all(self._membership.on_message(message, addr))
 
     def send_to_random(self, update: GossipUpdate, count: int) -> None:
         """Send an update to a number of random members."""
         data = encode_gossip(update, self._key)
-        for member in self._membership.some(count):
+        for member in self._membership.random_members(count):
             self._send(data, member.address)
 
     def send(self, message: DirectMessage, address: tuple[str, int]) -> None:
@@ -162,7 +162,7 @@
     def differing_records(self, request: SyncRequest) -> list[Member]:
         """Return records from the digest buckets in which two views differ."""
         buckets = self._membership.digest.differing(request.digest)
-        return self._membership.records_in(buckets)[:MAX_SYNC_RECORDS]
+        return self._membership.records_in_buckets(buckets)[:MAX_SYNC_RECORDS]
 
     def close(self) -> None:
         """Close the socket and cancel the background tasks."""
@@ -175,7 +175,7 @@
         """Record that some node holds a version of the configuration."""
         self.newest_configuration = max(self.newest_configuration, version)
 
-    def _record_held_versions(self, sender: Member, held: HeldVersions) -> None:
+    def _record_held_versions(self, sender: Member, held: CachedVersions) -> None:
         if held.configuration and held.configuration >= self.newest_configuration:
             self.newest_configuration = held.configuration
             self.configuration_source = sender
@@ -183,7 +183,7 @@
             self.newest_rules = held.rules
             self.rules_source = sender
         self.on_held_versions(held)
-        self.on_confirmation_age(sender, held.confirmed)
+        self.on_confirmation_age(sender, held.confirmation_age_ms)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
         for send in sends:
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -13,7 +13,7 @@
     MemberStatus,
     QuotaReply,
     QuotaRequest,
-    duty_group,
+    role_holders,
 )
 from rattanfork_core.quota import (
     QuotaBound,
@@ -227,7 +227,7 @@
     for instance, member in members.items():
         data_centres.setdefault(member.data_centre, []).append(instance)
     chosen = (
-        duty_group(names, "quota", _ISSUERS_PER_DATA_CENTRE)
+        role_holders(names, "quota", _ISSUERS_PER_DATA_CENTRE)
         for names in data_centres.values()
     )
     return {name: members[name] for names in chosen for name in names}
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
@@ -4,8 +4,8 @@
 from types import SimpleNamespace
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import GateReports
-from rattanfork_core.membership import GateNews, Member, Membership
+from rattanfork_core.gate_status import GateReportTable
+from rattanfork_core.membership import GateUpdate, Member, Membership
 from rattanfork_node.member.gate_report_task import GateReportTask
 
 
@@ -13,10 +13,10 @@
     """Records sent updates."""
 
     def __init__(self) -> None:
-        self.sent: list[tuple[GateNews, int]] = []
+        self.sent: list[tuple[GateUpdate, int]] = []
         self.on_gate_reports = None
 
-    def send_to_random(self, update: GateNews, count: int) -> None:
+    def send_to_random(self, update: GateUpdate, count: int) -> None:
         self.sent.append((update, count))
 
 
@@ -28,10 +28,10 @@
         me = record("n0")
         self.membership = Membership(self.clock, Random(1), me)
         self.membership.merge(record(f"n{n}") for n in range(1, size))
-        self.reports = GateReports(self.clock, me.name)
+        self.reports = GateReportTable(self.clock, me.name)
         self.gossip_task = RecordingGossipTask()
         self.gate = SimpleNamespace(
-            accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
+            accepting=True, own_threshold=5.0, health=SimpleNamespace(impaired=False)
         )
         self.task = GateReportTask(
             self.reports, self.membership, self.gossip_task, self.gate
@@ -55,12 +55,12 @@
 
 def test_shedding_gate_reports_until_it_is_open_again():
     harness = Harness()
-    harness.gate.own_cut = 2.0
+    harness.gate.own_threshold = 2.0
     harness.tick(5)
     assert len(harness.gossip_task.sent) == 5
     [report] = harness.gossip_task.sent[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (100, False)
-    harness.gate.own_cut = 5.0
+    harness.gate.own_threshold = 5.0
     harness.tick(60)
     sent_count = len(harness.gossip_task.sent)
     assert harness.gossip_task.sent[-1][0].reports["s"][0].cut == 250
@@ -73,7 +73,7 @@
     harness = Harness(size=100)
     harness.task._reports_threshold = False
     harness.task._membership_version = harness.membership.version
-    harness.gate.own_cut, harness.gate.health.impaired = 2.0, True
+    harness.gate.own_threshold, harness.gate.health.impaired = 2.0, True
     harness.tick(5)
     [report] = harness.gossip_task.sent[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (250, True)
@@ -94,15 +94,15 @@
 
 def test_reports_of_other_gates_are_forwarded():
     harness = Harness()
-    other = GateReports(harness.clock, "far@b")
-    other.report("deep", 1.0, impaired=True)
-    harness.gossip_task.on_gate_reports(other.news())
+    other = GateReportTable(harness.clock, "far@b")
+    other.update_own("deep", 1.0, impaired=True)
+    harness.gossip_task.on_gate_reports(other.take_fresh())
     harness.tick()
     assert "deep" in harness.gossip_task.sent[0][0].reports
 
 
 def test_gate_that_does_not_accept_requests_sends_no_report():
     harness = Harness()
-    harness.gate.accepting, harness.gate.own_cut = False, 1.0
+    harness.gate.accepting, harness.gate.own_threshold = False, 1.0
     harness.tick(5)
     assert not harness.gossip_task.sent
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
@@ -127,7 +127,9 @@
         task.start()
         await wait_until(lambda: task.joined)
         assert gossip_task.count == 1
-        assert [s.message.target for s in membership.introduce()] == [member("n2").name]
+        assert [s.message.target for s in membership.announce_self()] == [
+            member("n2").name
+        ]
 
     asyncio.run(run())
 
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -11,7 +11,11 @@
     Waiter,
 )
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import ChainReach, HintTable, UpstreamHealth
+from rattanfork_core.gate_status import (
+    OperationDependencies,
+    ThresholdCache,
+    UpstreamHealth,
+)
 from rattanfork_core.quarantine import Quarantine, SuspectTracker
 from rattanfork_core.request import CallResult, Outcome, Reason
 
@@ -23,9 +27,9 @@
     render_head,
 )
 from rattanfork_node.relay.crash_detector import CrashDetector
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.gate_results import lost, not_run, result_of
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.results import lost, not_run, result_of
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters
 
@@ -95,7 +99,7 @@
         boot: str,
         names: HeaderNames,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         grants: RepeatGrants,
         quarantine: Quarantine,
     ) -> None:
@@ -122,11 +126,11 @@
             ),
         )
         #: Thresholds that runs of the upstream have met at the services they call.
-        self._deeper = HintTable(clock)
+        self._deeper = ThresholdCache(clock)
         #: Whether the upstream fails or has become slow.
         self.health = UpstreamHealth(clock)
         #: Services that runs of the upstream reach, as their own calls show.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
         self._next_key = 0
@@ -157,12 +161,12 @@
         return self._accepting
 
     @property
-    def own_cut(self) -> float:
+    def own_threshold(self) -> float:
         """Threshold of this gate alone."""
         return self._admission.cut
 
     @property
-    def busy(self) -> int:
+    def outstanding(self) -> int:
         """Requests waiting or running."""
         return len(self._jobs)
 
@@ -179,7 +183,7 @@
     def attach(self, upstream: Upstream, connections: int) -> None:
         """Take new work for an upstream that announced itself."""
         known = self._upstream
-        if known is None or not upstream.continues(known):
+        if known is None or not upstream.is_same_incarnation(known):
             if known is not None and self._accepting:
                 in_flight = (j for j in self._jobs.values() if j.connection is not None)
                 self._crash_detector.on_replaced([j.fingerprint for j in in_flight])
@@ -209,9 +213,9 @@
         prefix, dot, _ = request_id.rpartition(b".")
         return self._running.get(prefix) if dot else None
 
-    def cut(self, operation: str) -> float:
+    def threshold(self, operation: str) -> float:
         """Return the threshold to announce: the gate's or a deeper one."""
-        return min(self._admission.cut, self._deeper.cut(operation, _HERE))
+        return min(self._admission.cut, self._deeper.threshold(operation, _HERE))
 
     def submit(self, job: Job) -> None:
         """Take a request; its ``done`` is called once."""
@@ -404,7 +408,7 @@
         if succeeded:
             self._note_reach(job, result)
         if job.heard_cut != float("inf"):
-            self._deeper.hear(job.operation, _HERE, job.heard_cut)
+            self._deeper.update(job.operation, _HERE, job.heard_cut)
         self._finish(job, result)
         self._apply(self._admission.finish(job.waiter.key, succeeded))
 
@@ -413,7 +417,7 @@
             fingerprint = job.fingerprint
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
-            self.reach.on_run(job.operation, job.reached)
+            self.reach.record_run(job.operation, job.reached)
         result.reach = self.reach.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
