--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -128,7 +128,7 @@
             random, platform, roster, membership, rules, persist_quarantine, counters
         )
         membership.cached_versions = self._held
-        member_task.on_held_versions = self._confirmation.on_held_versions
+        member_task.on_cached_versions = self._confirmation.on_cached_versions
 
     @property
     def joined(self) -> bool:
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -93,7 +93,7 @@
         known = self._schedule.confirmed and not self._outdated()
         return int(self._schedule.age * 1000) if known else UNKNOWN_AGE_MS
 
-    def on_held_versions(self, held: CachedVersions) -> None:
+    def on_cached_versions(self, held: CachedVersions) -> None:
         """Adopt the confirmation age of another node if it applies here."""
         task = self._gossip_task
         older = (
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -77,7 +77,7 @@
             gossip_task.newest_configuration, configuration
         )
         gossip_task.newest_rules = max(gossip_task.newest_rules, rules)
-        self.task.on_held_versions(CachedVersions(configuration, rules, confirmed))
+        self.task.on_cached_versions(CachedVersions(configuration, rules, confirmed))
 
 
 def test_confirmation_of_the_newest_version_is_adopted():
--- a/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -78,7 +78,7 @@
         self.configuration_source: Member | None = None
         self.rules_source: Member | None = None
         #: Called with the versions held by the sender of each message.
-        self.on_held_versions: Callable[[CachedVersions], None] = _ignore
+        self.on_cached_versions: Callable[[CachedVersions], None] = _ignore
         #: Called with the sender and the age in ms of its store confirmation.
         self.on_confirmation_age: Callable[[Member, int], None] = _ignore_pair
         #: Handlers of requests and replies between two nodes, by message type.
@@ -182,7 +182,7 @@
         if held.rules and held.rules >= self.newest_rules:
             self.newest_rules = held.rules
             self.rules_source = sender
-        self.on_held_versions(held)
+        self.on_cached_versions(held)
         self.on_confirmation_age(sender, held.confirmation_age_ms)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
