--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -62,7 +62,7 @@
         Connections to other nodes.
     counters : Counters
         Event counters.
-    on_duty : callable
+    is_watcher : callable
         Returns whether this node currently watches the store.
     lease : ConfigurationLease or None
         Renewed whenever the store confirms the configuration.
@@ -80,13 +80,13 @@
         gossip_task: GossipTask,
         pool: PeerPool,
         counters: Counters,
-        on_duty: Callable[[], bool] = lambda: True,
+        is_watcher: Callable[[], bool] = lambda: True,
         lease: ConfigurationLease | None = None,
     ) -> None:
         self._clock = clock
         self._random = random
         self._holder = holder
-        self._watch = RowWatch(platform, table, key, _WATCH_WAIT_S, on_duty)
+        self._watch = RowWatch(platform, table, key, _WATCH_WAIT_S, is_watcher)
         self._key = key
         self._lease = lease or ConfigurationLease(BootClock())
         self._membership = membership
--- a/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/confirmation_task.py
@@ -12,11 +12,11 @@
 from rattanfork_node.member import GossipTask
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Interval at which a node of the polling group checks the schedule.
-_GROUP_TICK_S = 0.05
+#: Interval at which a reader checks the schedule.
+_READER_TICK_S = 0.05
 #: The same for all other nodes.  Their delays are seconds, and the shorter interval
 #: would account for most of the CPU use of an idle node.
-_OUTSIDER_TICK_S = 0.25
+_OTHER_TICK_S = 0.25
 #: Members notified directly of a confirmation; gossip reaches the others.
 _MAX_NOTIFIED = 16
 #: Age from which confirmation counts as lost: twice the worst case with a responsive
@@ -41,8 +41,8 @@
         Source of the choice of members to notify.
     schedule : ConfirmationSchedule
         Decides when to poll.
-    roster : RoleAssignment
-        Group of nodes that take turns polling the store.
+    readers : RoleAssignment
+        Nodes that take turns polling the store.
     gossip_task : GossipTask
         Sends the confirmation to other members.
     replicas : sequence of StoreReplica
@@ -55,18 +55,18 @@
         self,
         random: Random,
         schedule: ConfirmationSchedule,
-        roster: RoleAssignment,
+        readers: RoleAssignment,
         gossip_task: GossipTask,
         replicas: Sequence[StoreReplica],
         counters: Counters,
     ) -> None:
         self._random = random
         self._schedule = schedule
-        self._roster = roster
+        self._readers = readers
         self._gossip_task = gossip_task
         self._replicas = replicas
         self._counters = counters
-        self._roster_version = -1
+        self._readers_version = -1
         self._confirmed = True
         self._task: asyncio.Task | None = None
 
@@ -93,30 +93,30 @@
         known = self._schedule.confirmed and not self._outdated()
         return int(self._schedule.age * 1000) if known else UNKNOWN_AGE_MS
 
-    def on_cached_versions(self, held: CachedVersions) -> None:
+    def on_cached_versions(self, versions: CachedVersions) -> None:
         """Adopt the confirmation age of another node if it applies here."""
         task = self._gossip_task
         older = (
-            held.configuration < task.newest_configuration
-            or held.rules < task.newest_rules
+            versions.configuration < task.newest_configuration
+            or versions.rules < task.newest_rules
         )
         # A confirmation of an older version proves nothing about the newest.  A
         # node that is outdated polls for itself until it has caught up.
         if (
-            held.confirmation_age_ms != UNKNOWN_AGE_MS
+            versions.confirmation_age_ms != UNKNOWN_AGE_MS
             and not older
             and not self._outdated()
         ):
-            self._schedule.on_confirmation(held.confirmation_age_ms / 1000)
+            self._schedule.on_confirmation(versions.confirmation_age_ms / 1000)
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(
-                _GROUP_TICK_S if self._roster.includes_self else _OUTSIDER_TICK_S
+                _READER_TICK_S if self._readers.includes_self else _OTHER_TICK_S
             )
             self._report_age()
-            if self._roster.version != self._roster_version:
-                self._update_group()
+            if self._readers.version != self._readers_version:
+                self._update_readers()
             if self._schedule.due():
                 await self._confirm_with_store()
 
@@ -134,18 +134,20 @@
             self._schedule.end(succeeded)
         if succeeded:
             self._counters.events["confirmation.asked"] += 1
-            others = self._roster.others
+            others = self._readers.others
             notified = min(_MAX_NOTIFIED, len(others))
-            self._gossip_task.push_held_versions(self._random.sample(others, notified))
+            self._gossip_task.push_cached_versions(
+                self._random.sample(others, notified)
+            )
 
     def _outdated(self) -> bool:
         return any(replica.outdated for replica in self._replicas)
 
-    def _update_group(self) -> None:
-        roster = self._roster
-        self._roster_version = roster.version
+    def _update_readers(self) -> None:
+        readers = self._readers
+        self._readers_version = readers.version
         self._schedule.set_group(
-            len(roster.names), roster.fleet_size, roster.includes_self
+            len(readers.names), readers.fleet_size, readers.includes_self
         )
 
     def _report_age(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -52,7 +52,7 @@
         Holder of the configuration in force.
     membership : Membership
         Membership view of this node.
-    roster : RoleAssignment
+    readers : RoleAssignment
         Readers, which take turns polling the store.
     gossip_task : GossipTask
         Sends and receives gossip messages.
@@ -66,7 +66,7 @@
         lease: ConfigurationLease,
         configuration: ConfigurationHolder,
         membership: Membership,
-        roster: RoleAssignment,
+        readers: RoleAssignment,
         gossip_task: GossipTask,
         ask_store: Callable[[], None],
     ) -> None:
@@ -74,7 +74,7 @@
         self._lease = lease
         self._configuration = configuration
         self._membership = membership
-        self._roster = roster
+        self._readers = readers
         self._gossip_task = gossip_task
         self._ask_store = ask_store
         self._next_peer_request = -inf
@@ -135,7 +135,7 @@
                 self._gossip_task.send(LeaseRequest(number), member.address)
         store_after_s = (
             _READER_STORE_AFTER_S
-            if self._roster.includes_self
+            if self._readers.includes_self
             else _OTHER_STORE_AFTER_S
         )
         if age > store_after_s and now >= self._next_store_request:
@@ -149,7 +149,7 @@
             and self._freshest_confirmed_at > confirmed_at + _MIN_GAIN_S
         ):
             return [self._freshest_peer]
-        others = self._roster.others
+        others = self._readers.others
         names = self._random.sample(others, min(_FALLBACK_PEERS, len(others)))
         members = self._membership.members
         return [members[name] for name in names if name in members]
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -46,7 +46,7 @@
         Source of jitter.
     platform : WatchedPlatform
         The store.
-    roster : RoleAssignment
+    readers : RoleAssignment
         Readers, in the order of their turns.
     membership : Membership
         Membership view of this node.
@@ -62,7 +62,7 @@
         self,
         random: Random,
         platform: WatchedPlatform,
-        roster: RoleAssignment,
+        readers: RoleAssignment,
         membership: Membership,
         rules: RevisionState,
         persist_quarantine: Callable[[], Awaitable[None]],
@@ -70,7 +70,7 @@
     ) -> None:
         self._random = random
         self._platform = platform
-        self._roster = roster
+        self._readers = readers
         self._membership = membership
         self._rules = rules
         self._persist_quarantine = persist_quarantine
@@ -96,7 +96,7 @@
                 await self._restore()
 
     async def _restore(self) -> None:
-        names = self._roster.names
+        names = self._readers.names
         me = self._membership.me.name
         if me not in names[:_MAX_WRITERS]:
             return
--- a/packages/rattanfork-node/rattanfork_node/config/row_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/row_watch.py
@@ -6,11 +6,11 @@
 from rattanfork_platform import HistoryLostError, Rows, WatchedPlatform
 
 #: Interval at which a node that does not watch checks whether it has to; meanwhile
-#: polls by the confirmation group find changes.
-_DUTY_CHECK_INTERVAL_S = 1.0
+#: polls by the readers find changes.
+_ROLE_CHECK_INTERVAL_S = 1.0
 
 
-def _always_on_duty() -> bool:
+def _always_watch() -> bool:
     return True
 
 
@@ -38,7 +38,7 @@
         Row to follow.
     wait_s : float
         Longest wait of one watch, in seconds.
-    on_duty : callable
+    is_watcher : callable
         Returns whether this node currently watches the store.
     """
 
@@ -48,13 +48,13 @@
         table: str,
         key: str,
         wait_s: float,
-        on_duty: Callable[[], bool] = _always_on_duty,
+        is_watcher: Callable[[], bool] = _always_watch,
     ) -> None:
         self._platform = platform
         self._table = table
         self._key = key
         self._wait_s = wait_s
-        self._on_duty = on_duty
+        self._is_watcher = is_watcher
         self._known_version: int | None = None
         self._watch: asyncio.Future[Rows] | None = None
 
@@ -64,7 +64,7 @@
         return self._known_version or 0
 
     async def next_change(self) -> Rows | None:
-        """Wait for a change; None if the watch was restarted or is not on duty.
+        """Wait for a change; None if the watch was restarted or is up to other nodes.
 
         Raises
         ======
@@ -74,8 +74,8 @@
         """
         if self._known_version is None:
             return self._record_version(await self._scan())
-        if not self._on_duty():
-            await asyncio.sleep(_DUTY_CHECK_INTERVAL_S)
+        if not self._is_watcher():
+            await asyncio.sleep(_ROLE_CHECK_INTERVAL_S)
             return None
         self._watch = asyncio.ensure_future(
             self._platform.watch(self._table, self._known_version, self._wait_s)
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
@@ -55,7 +55,7 @@
         Returns the newest revision order seen in gossip.
     source_of_newest : callable
         Returns the member that last announced it.
-    on_duty : callable
+    is_watcher : callable
         Returns whether this node currently watches the store.
     """
 
@@ -69,7 +69,7 @@
         counters: Counters,
         newest_revision: Callable[[], int] = lambda: 0,
         source_of_newest: Callable[[], Member | None] = lambda: None,
-        on_duty: Callable[[], bool] = lambda: True,
+        is_watcher: Callable[[], bool] = lambda: True,
     ) -> None:
         self._random = random
         self._state = state
@@ -80,7 +80,7 @@
         self._counters = counters
         self._newest_revision = newest_revision
         self._source_of_newest = source_of_newest
-        self._watch = RowWatch(platform, _TABLE, _HEAD, _WATCH_WAIT_S, on_duty)
+        self._watch = RowWatch(platform, _TABLE, _HEAD, _WATCH_WAIT_S, is_watcher)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -157,7 +157,7 @@
         self.configuration_source: Member | None = None
         self.rules_source: Member | None = None
 
-    def push_held_versions(self, names) -> None:
+    def push_cached_versions(self, names) -> None:
         pass
 
 
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -35,7 +35,7 @@
         self.membership = Membership(MonotonicClock(), Random(1), member("me"))
         self.membership.merge([member("peer")])
         self.gossip_task = FakeGossipTask()
-        self.on_duty = True
+        self.is_watcher = True
         self.task = ConfigurationTask(
             MonotonicClock(),
             Random(1),
@@ -47,7 +47,7 @@
             self.gossip_task,
             self.peers,
             self.counters,
-            lambda: self.on_duty,
+            lambda: self.is_watcher,
         )
         self.replicas = [self.task]
         self.confirmation = ConfirmationTask(
@@ -115,13 +115,13 @@
 
 
 @with_harness
-async def test_node_off_duty_reads_once_and_does_not_watch(harness):
+async def test_node_that_is_no_watcher_reads_once(harness):
     """Guards against store load that grows with the fleet.
 
     With a watch on each of 17,000 nodes, every change would cause 17,000 calls; the
-    store allows 2,000 reads per second.  A node off duty gets changes from peers.
+    store allows 2,000 reads per second.  Other nodes get changes from peers.
     """
-    harness.on_duty = False
+    harness.is_watcher = False
     harness.write(b"1")
     harness.task.start()
     await wait_until(lambda: harness.holder.version == 1)
@@ -133,18 +133,18 @@
 
 
 @with_harness
-async def test_node_that_becomes_on_duty_finds_missed_changes(harness):
+async def test_node_that_becomes_a_watcher_finds_missed_changes(harness):
     """Guards against a change lost when all watching nodes fail together.
 
     No node has announced it.  A successor watches from the version of its last
     read, so its first watch returns the change.
     """
-    harness.on_duty = False
+    harness.is_watcher = False
     harness.write(b"1")
     harness.task.start()
     await wait_until(lambda: harness.holder.version == 1)
     harness.write(b"2")
-    harness.on_duty = True
+    harness.is_watcher = True
     await wait_until(lambda: harness.holder.version == 2)
 
 
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -27,7 +27,7 @@
         super().__init__()
         self.notified: list[str] = []
 
-    def push_held_versions(self, names) -> None:
+    def push_cached_versions(self, names) -> None:
         self.notified += names
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -30,6 +30,13 @@
 class GossipTask(asyncio.DatagramProtocol):
     """Exchanges gossip messages and synchronizes membership views.
 
+    Explanation
+    ===========
+
+    Membership messages, gate reports, crash reports and direct requests between two
+    nodes share one UDP socket.  Anti-entropy compares the digests of two views over
+    a peer connection and transfers the records in which they differ.
+
     Parameters
     ==========
 
@@ -121,7 +128,7 @@
         """Announce this node to the other members."""
         self._send_all(self._membership.announce_self())
 
-    def push_held_versions(self, names: Iterable[str]) -> None:
+    def push_cached_versions(self, names: Iterable[str]) -> None:
         """Send the versions that this node holds to the given members at once."""
         self._send_all(self._membership.ping_members(names))
 
@@ -146,7 +153,7 @@
         if direct is not None:
             direct(message, addr)
             return
-        self._record_held_versions(message.sender, message.versions)
+        self._record_cached_versions(message.sender, message.versions)
         self._send_all(self._membership.on_message(message, addr))
 
     def send_to_random(self, update: GossipUpdate, count: int) -> None:
@@ -175,15 +182,18 @@
         """Record that some node holds a version of the configuration."""
         self.newest_configuration = max(self.newest_configuration, version)
 
-    def _record_held_versions(self, sender: Member, held: CachedVersions) -> None:
-        if held.configuration and held.configuration >= self.newest_configuration:
-            self.newest_configuration = held.configuration
+    def _record_cached_versions(self, sender: Member, versions: CachedVersions) -> None:
+        if (
+            versions.configuration
+            and versions.configuration >= self.newest_configuration
+        ):
+            self.newest_configuration = versions.configuration
             self.configuration_source = sender
-        if held.rules and held.rules >= self.newest_rules:
-            self.newest_rules = held.rules
+        if versions.rules and versions.rules >= self.newest_rules:
+            self.newest_rules = versions.rules
             self.rules_source = sender
-        self.on_cached_versions(held)
-        self.on_confirmation_age(sender, held.confirmation_age_ms)
+        self.on_cached_versions(versions)
+        self.on_confirmation_age(sender, versions.confirmation_age_ms)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
         for send in sends:
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -168,6 +168,7 @@
         return bool(order) and order[0] == self._membership.me.name
 
     def _in_doubt(self, account: str) -> bool:
+        """Return whether an issuer of higher priority may still be issuing."""
         mine = _rendezvous_hash(account, self._membership.me.instance)
         oldest = self._clock.now() - _DOUBT_PERIOD_S
         return any(
