--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -49,7 +49,7 @@
         raise fail(f"configuration {version}: no route takes {host}{path}", FAILED)
     rules = load_rules(record.text, f"revision {record.revision}")
     answers = []
-    for share in route.shares:
+    for share in route.services:
         facts = facts_of_route(route, share.service, method, caller, data_centre, load)
         found = explain(rules, facts)
         answers.append((share.service, found, rule_on(route, found.rule)))
@@ -91,8 +91,8 @@
 ) -> None:
     print(f"configuration {configuration.version}: route {route.name}")
     print(f"  {route.host}{route.prefix}, {_kind(route)}")
-    total = sum(share.weight for share in route.shares)
-    for share, (service, found, ruling) in zip(route.shares, answers, strict=True):
+    total = sum(share.weight for share in route.services)
+    for share, (service, found, ruling) in zip(route.services, answers, strict=True):
         print(f"  service {service}, {share.weight / total:.0%} of the requests")
         for name, failures in found.passed_over:
             print(f"    passed over {name}: {'; '.join(failures)}")
--- a/packages/rattanfork-core/rattanfork_core/account/repeats.py
+++ b/packages/rattanfork-core/rattanfork_core/account/repeats.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.account.wants import RepeatWants
 from rattanfork_core.clock import Clock
-from rattanfork_core.request.importance import RANKS, Importance
+from rattanfork_core.request.importance import RANK_LIMIT, Importance
 
 #: Parts into which the window is divided.
 _PARTS = 10
@@ -118,7 +118,7 @@
     def carried(self) -> float:
         """Rank below which all repeats that are wanted are granted."""
         if not self._wants.seen:
-            return float(RANKS)
+            return float(RANK_LIMIT)
         # The repeats that one call needs until it gets through.
         needed = self._share_lost / max(1e-3, 1.0 - self._share_lost)
         spread = min(_LONGEST_SPREAD, max(_SHORTEST_SPREAD, needed))
--- a/packages/rattanfork-core/rattanfork_core/account/wants.py
+++ b/packages/rattanfork-core/rattanfork_core/account/wants.py
@@ -3,7 +3,7 @@
 from math import exp
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 #: Parts of each level of importance that are counted by themselves.
 _PER_LEVEL = 16
@@ -41,7 +41,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._counts = [0.0] * (RANKS * _PER_LEVEL)
+        self._counts = [0.0] * (RANK_LIMIT * _PER_LEVEL)
         self._then = clock.now()
 
     @property
@@ -68,7 +68,7 @@
             if wanted > left:
                 return (place + left / wanted) / _PER_LEVEL
             left -= wanted
-        return float(RANKS)
+        return float(RANK_LIMIT)
 
     def _fade(self) -> None:
         passed = self._clock.now() - self._then
--- a/packages/rattanfork-core/rattanfork_core/admission/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/__init__.py
@@ -1,13 +1,13 @@
 """Admission at the guard: how many run, who waits, and who is shed."""
 
 from rattanfork_core.admission.controller import AdmissionController
-from rattanfork_core.admission.cut import ShedCut
 from rattanfork_core.admission.decisions import Decision, Refuse, Start
 from rattanfork_core.admission.demand import DemandHistogram
-from rattanfork_core.admission.estimate import ServiceEstimate
+from rattanfork_core.admission.estimate import ServiceTimeEstimate
 from rattanfork_core.admission.limit import ConcurrencyLimit
 from rattanfork_core.admission.queue import WaitQueue
 from rattanfork_core.admission.settings import AdmissionSettings
+from rattanfork_core.admission.threshold import AdmissionThreshold
 from rattanfork_core.admission.waiter import Waiter
 
 __all__ = [
@@ -17,8 +17,8 @@
     "Decision",
     "DemandHistogram",
     "Refuse",
-    "ServiceEstimate",
-    "ShedCut",
+    "ServiceTimeEstimate",
+    "AdmissionThreshold",
     "Start",
     "WaitQueue",
     "Waiter",
--- a/packages/rattanfork-core/rattanfork_core/admission/controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/controller.py
@@ -2,12 +2,12 @@
 
 from math import ceil
 
-from rattanfork_core.admission.cut import ShedCut
 from rattanfork_core.admission.decisions import Decision, Refuse, Start
-from rattanfork_core.admission.estimate import ServiceEstimate
+from rattanfork_core.admission.estimate import ServiceTimeEstimate
 from rattanfork_core.admission.limit import ConcurrencyLimit
 from rattanfork_core.admission.queue import WaitQueue
 from rattanfork_core.admission.settings import AdmissionSettings
+from rattanfork_core.admission.threshold import AdmissionThreshold
 from rattanfork_core.admission.waiter import Waiter
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.outcome import Reason
@@ -45,7 +45,7 @@
     >>> from rattanfork_core.clock import ManualClock
     >>> admission = AdmissionController(
     ...     ManualClock(),
-    ...     AdmissionSettings(slots=1, least_queue=1, queue_share=1, warmup=0))
+    ...     AdmissionSettings(slots=1, min_queue_length=1, queue_ratio=1, warmup=0))
     >>> admission.offer(Waiter(1, 2.5, "get", 9.0, 0.0))
     [Start(waiter=Waiter(key=1, rank=2.5, operation='get', deadline=9.0, \
 arrived=0.0, started=0.0))]
@@ -57,7 +57,7 @@
     """
 
     #: Seconds between two calls of :meth:`tick`.
-    TICK = 0.1
+    TICK_SECONDS = 0.1
 
     def __init__(self, clock: Clock, settings: AdmissionSettings) -> None:
         self._clock = clock
@@ -68,8 +68,8 @@
         self._limit = ConcurrencyLimit(
             clock, settings.slots, settings.warmup, settings.adaptive
         )
-        self._estimate = ServiceEstimate()
-        self._cut = ShedCut(settings.surge_sample)
+        self._estimate = ServiceTimeEstimate()
+        self._cut = AdmissionThreshold(settings.surge_sample)
         self._leaving = False
         self._busy = 0.0
         self._busy_since = clock.now()
@@ -77,7 +77,7 @@
         self._progress = clock.now()
 
     @property
-    def cut(self) -> float:
+    def threshold(self) -> float:
         """Requests of this rank or above are shed here."""
         return self._cut.value
 
@@ -102,20 +102,20 @@
         return self._estimate.mean
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """Whether no new work is taken."""
         return self._leaving
 
-    def restart(self) -> None:
+    def reset_estimates(self) -> None:
         """Forget what was learned of the upstream: another incarnation is there.
 
         A successor that is faster would be refused work by its predecessor's
         times, and one that is still cold be sent more than it can end.
         """
-        self._estimate = ServiceEstimate()
-        self._cut = ShedCut(self._settings.surge_sample)
+        self._estimate = ServiceTimeEstimate()
+        self._cut = AdmissionThreshold(self._settings.surge_sample)
 
-    def leave(self) -> list[Decision]:
+    def drain(self) -> list[Decision]:
         """Take no new work; those waiting are refused, those running end."""
         self._leaving = True
         waiting = list(self._queue)
@@ -155,12 +155,14 @@
         return self._queue.remove(waiter)
 
     def tick(self) -> list[Decision]:
-        """Shed the doomed and adapt the cut; call every :attr:`TICK`."""
+        """Shed the doomed and adapt the cut; call every :attr:`TICK_SECONDS`."""
         now = self._clock.now()
         # Who would be doomed before the next look is told now.  Told after its
         # time, the news would cross its sender's own timeout, which has to say
         # that the request may have run; a posting could not be tried again.
-        doomed = self._queue.take_doomed(self._latest_start, now + self.TICK)
+        doomed = self._queue.pop_unfinishable(
+            self._latest_start, now + self.TICK_SECONDS
+        )
         decisions: list[Decision] = []
         for waiter in doomed:
             self._latest_start.pop(waiter.key, None)
@@ -170,9 +172,9 @@
         limit = self._limit.current
         if self._estimate.mean:
             self._cut.update(
-                capacity=self._pace() * self.TICK,
+                capacity=self._pace() * self.TICK_SECONDS,
                 queue_share=len(self._queue) / self._queue_bound(),
-                utilisation=self._take_busy() / (limit * self.TICK),
+                utilisation=self._take_busy() / (limit * self.TICK_SECONDS),
             )
         return decisions
 
@@ -182,8 +184,8 @@
         While the queue is not full, whoever comes with a lower rank goes first.  One
         of high rank would wait until it is doomed, with all that was done for it.
         """
-        longest = max(self._settings.longest_wait, self._estimate.mean)
-        overdue = self._queue.take_older(now - longest)
+        longest = max(self._settings.max_wait, self._estimate.mean)
+        overdue = self._queue.pop_arrived_before(now - longest)
         for waiter in overdue:
             self._latest_start.pop(waiter.key, None)
             self._on_displaced(waiter)
@@ -216,10 +218,10 @@
 
     def _queue_bound(self) -> int:
         limit, settings = self._limit.current, self._settings
-        bound = max(settings.least_queue, ceil(limit * settings.queue_share))
+        bound = max(settings.min_queue_length, ceil(limit * settings.queue_ratio))
         if not self._estimate.mean:
             return bound
-        return max(bound, int(self._pace() * settings.queue_seconds))
+        return max(bound, int(self._pace() * settings.queue_delay))
 
     def _cannot_finish(self, waiter: Waiter, wait: float = 0.0) -> bool:
         now = self._clock.now()
@@ -230,16 +232,18 @@
             # ever correct it: the service would stay shut after it recovered.
             # An idle upstream therefore always takes one.
             return False
-        needed = wait + self._estimate.shortest(waiter.operation)
+        needed = wait + self._estimate.lower_bound(waiter.operation)
         return now + needed > waiter.deadline
 
     def _enqueue(self, waiter: Waiter) -> list[Decision]:
         mean = self._estimate.mean
-        wait = (self._queue.ahead(waiter.rank) + 1) / self._pace() if mean else 0.0
+        wait = (
+            (self._queue.count_ahead(waiter.rank) + 1) / self._pace() if mean else 0.0
+        )
         if self._cannot_finish(waiter, max(0.0, wait - mean)):
             self._on_displaced(waiter)
             return [Refuse(waiter, Reason.TOO_LATE)]
-        shortest = self._estimate.shortest(waiter.operation)
+        shortest = self._estimate.lower_bound(waiter.operation)
         self._latest_start[waiter.key] = waiter.deadline - shortest
         self._queue.push(waiter)
         bound = self._queue_bound()
@@ -247,7 +251,7 @@
             if 2 * len(self._queue) > bound and mean:
                 self._cut.on_pressure(self._clock.now(), self._pace())
             return []
-        worst = self._queue.pop_worst()
+        worst = self._queue.pop_highest_rank()
         self._on_displaced(worst)
         self._latest_start.pop(worst.key, None)
         return [Refuse(worst, Reason.SHED)]
@@ -274,7 +278,7 @@
     def _start_next(self) -> list[Decision]:
         decisions: list[Decision] = []
         while self._queue and len(self._running) < self._limit.current:
-            waiter = self._queue.pop_best()
+            waiter = self._queue.pop_lowest_rank()
             self._latest_start.pop(waiter.key, None)
             if self._cannot_finish(waiter):
                 decisions.append(Refuse(waiter, Reason.TOO_LATE))
--- a/packages/rattanfork-core/rattanfork_core/admission/demand.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/demand.py
@@ -1,9 +1,9 @@
 """How demand is spread over the order of shedding."""
 
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 _PER_RANK = 32
-_BUCKETS = RANKS * _PER_RANK
+_BUCKETS = RANK_LIMIT * _PER_RANK
 #: Share of a remembered count that is left after one tick.
 _MEMORY = 0.99
 
@@ -27,7 +27,7 @@
     ...     demand.add(2 + i / 100)
     >>> round(demand.rank_at(50), 1)
     2.5
-    >>> demand.below(2.5)
+    >>> demand.count_below(2.5)
     50.0
     """
 
@@ -40,7 +40,7 @@
         """Count one arrival."""
         self._counts[min(_BUCKETS - 1, int(rank * _PER_RANK))] += 1.0
 
-    def age(self, cut: float = float(RANKS)) -> None:
+    def age(self, cut: float = float(RANK_LIMIT)) -> None:
         """Let older arrivals count for less; remember those above a cut."""
         decay = self._decay
         self._counts = counts = [count * decay for count in self._counts]
@@ -55,11 +55,11 @@
         ]
 
     @property
-    def per_tick(self) -> float:
+    def tick_fraction(self) -> float:
         """Factor that turns a decayed count into arrivals of one tick."""
         return 1.0 - self._decay if self._decay < 1 else 1.0
 
-    def below(self, rank: float) -> float:
+    def count_below(self, rank: float) -> float:
         """Return the decayed count of arrivals of lower rank."""
         place = rank * _PER_RANK
         whole = min(_BUCKETS, int(place))
@@ -77,7 +77,7 @@
             if seen and left <= seen:
                 return (bucket + left / seen) / _PER_RANK
             left -= seen
-        return float(RANKS)
+        return float(RANK_LIMIT)
 
     def rank_at(self, count: float) -> float:
         """Return the rank below which ``count`` arrivals lie."""
@@ -86,4 +86,4 @@
             if seen and left <= seen:
                 return (bucket + max(0.0, left) / seen) / _PER_RANK
             left -= seen
-        return float(RANKS)
+        return float(RANK_LIMIT)
--- a/packages/rattanfork-core/rattanfork_core/admission/estimate.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/estimate.py
@@ -3,23 +3,23 @@
 _WEIGHT = 0.1
 
 
-class ServiceEstimate:
+class ServiceTimeEstimate:
     """Running mean and deviation of service times, by operation.
 
     Examples
     ========
 
-    >>> estimate = ServiceEstimate()
-    >>> estimate.shortest("get")
+    >>> estimate = ServiceTimeEstimate()
+    >>> estimate.lower_bound("get")
     0.0
     >>> for _ in range(100):
     ...     estimate.add("get", 0.05)
-    >>> round(estimate.shortest("get"), 3), round(estimate.mean, 3)
+    >>> round(estimate.lower_bound("get"), 3), round(estimate.mean, 3)
     (0.05, 0.05)
     """
 
     #: Operations come from URLs, so their number must be bounded.
-    MOST_OPERATIONS = 256
+    MAX_OPERATIONS = 256
 
     def __init__(self) -> None:
         self._operations: dict[str, tuple[float, float]] = {}
@@ -34,7 +34,7 @@
         """Take in one service time, in seconds."""
         known = self._operations.get(operation)
         if known is None:
-            if len(self._operations) >= self.MOST_OPERATIONS:
+            if len(self._operations) >= self.MAX_OPERATIONS:
                 self._operations.pop(next(iter(self._operations)))
             self._operations[operation] = (duration, duration / 4)
         else:
@@ -48,7 +48,7 @@
         else:
             self._mean = duration
 
-    def shortest(self, operation: str) -> float:
+    def lower_bound(self, operation: str) -> float:
         """Return the time below which the operation hardly ever ends."""
         known = self._operations.get(operation)
         if known is None:
--- a/packages/rattanfork-core/rattanfork_core/admission/limit.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/limit.py
@@ -101,13 +101,13 @@
         """Recent service time as a multiple of its base."""
         return self._slowdown
 
-    def announce(self, slots: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Take in the slots that the upstream announces."""
         if slots != self._slots:
             self._limit = min(max(1.0, self._limit * slots / self._slots), slots)
             self._slots = slots
 
-    def restart(self) -> None:
+    def restart_warmup(self) -> None:
         """Warm up anew: the upstream was replaced."""
         self._born = self._clock.now()
 
--- a/packages/rattanfork-core/rattanfork_core/admission/queue.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/queue.py
@@ -25,9 +25,9 @@
     >>> queue = WaitQueue()
     >>> queue.push(Waiter(1, 2.5, "get", 1.0, 0.0))
     >>> queue.push(Waiter(2, 0.5, "file", 1.0, 0.0))
-    >>> queue.ahead(2.0)
+    >>> queue.count_ahead(2.0)
     1
-    >>> queue.pop_best().key, queue.pop_worst().key
+    >>> queue.pop_lowest_rank().key, queue.pop_highest_rank().key
     (2, 1)
     """
 
@@ -41,15 +41,15 @@
         """Add a waiter."""
         self._waiters.add(waiter)
 
-    def ahead(self, rank: float) -> int:
+    def count_ahead(self, rank: float) -> int:
         """Return how many waiters would go before one of this rank."""
         return self._waiters.bisect_key_left((rank, 0))
 
-    def pop_best(self) -> Waiter:
+    def pop_lowest_rank(self) -> Waiter:
         """Take out the waiter that goes next."""
         return self._waiters.pop(0)
 
-    def pop_worst(self) -> Waiter:
+    def pop_highest_rank(self) -> Waiter:
         """Take out the waiter that is shed first."""
         return self._waiters.pop()
 
@@ -61,14 +61,16 @@
             return False
         return True
 
-    def take_doomed(self, latest_start: dict[int, float], now: float) -> list[Waiter]:
+    def pop_unfinishable(
+        self, latest_start: dict[int, float], now: float
+    ) -> list[Waiter]:
         """Take out all that should have started before ``now``."""
         doomed = [w for w in self._waiters if latest_start[w.key] < now]
         for waiter in doomed:
             self._waiters.remove(waiter)
         return doomed
 
-    def take_older(self, arrived: float) -> list[Waiter]:
+    def pop_arrived_before(self, arrived: float) -> list[Waiter]:
         """Take out all that arrived before a time."""
         older = [w for w in self._waiters if w.arrived < arrived]
         for waiter in older:
--- a/packages/rattanfork-core/rattanfork_core/admission/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/settings.py
@@ -13,11 +13,11 @@
 
     slots : int
         Announced slots of the upstream: the limit never exceeds them.
-    queue_share : float
+    queue_ratio : float
         Length of the queue as a share of the concurrency limit.
-    queue_seconds : float
+    queue_delay : float
         Length of the queue as the time it takes to serve it, if that is more.
-    least_queue : int
+    min_queue_length : int
         Shortest length of the queue.
     retry_after : float
         Shortest time a refused caller is told to stay away, in seconds.
@@ -26,7 +26,7 @@
     surge_sample : int
         Arrivals looked at for a surge.  They must span more time than those
         that come in one batch, or each batch looks like a surge.
-    longest_wait : float
+    max_wait : float
         Seconds after which a waiter is shed, or the mean service time if that is more.
     adaptive : bool
         Whether the limit is lowered when service times suggest that the
@@ -34,11 +34,11 @@
     """
 
     slots: int = 100
-    queue_share: float = 2.0
-    queue_seconds: float = 0.25
-    least_queue: int = 4
+    queue_ratio: float = 2.0
+    queue_delay: float = 0.25
+    min_queue_length: int = 4
     retry_after: float = 1.0
     warmup: float = 2.0
     surge_sample: int = 12
-    longest_wait: float = inf
+    max_wait: float = inf
     adaptive: bool = True
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
@@ -14,7 +14,7 @@
 
 LOAD = (Reason.SHED, Reason.TOO_LATE)
 SMALL = AdmissionSettings(
-    slots=2, least_queue=3, queue_share=1.0, queue_seconds=0.0, warmup=0.0
+    slots=2, min_queue_length=3, queue_ratio=1.0, queue_delay=0.0, warmup=0.0
 )
 
 
@@ -153,7 +153,7 @@
     upstream = Upstream()
     for rank in (2.0, 2.1, 2.2):
         upstream.arrive(rank)
-    upstream.take(upstream.admission.leave())
+    upstream.take(upstream.admission.drain())
     upstream.arrive(0.1)
     assert [what for what, _ in upstream.log[2:]] == ["LEAVING", "LEAVING"]
     assert upstream.admission.running == 2
@@ -169,13 +169,13 @@
             upstream.finish()
         if i % 20 == 0:
             upstream.take(upstream.admission.tick())
-    assert upstream.admission.cut < 3.5
+    assert upstream.admission.threshold < 3.5
     while upstream.running:
         upstream.finish()
     for _ in range(12):
         upstream.clock.advance(0.1)
         upstream.take(upstream.admission.tick())
-    assert upstream.admission.cut == 5.0
+    assert upstream.admission.threshold == 5.0
 
 
 def test_an_upstream_that_hangs_does_not_fill_its_queue():
@@ -187,7 +187,7 @@
     finds another instance.
     """
     settings = AdmissionSettings(
-        slots=4, least_queue=4, queue_share=1.0, queue_seconds=0.2, warmup=0.0
+        slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
     )
     upstream = Upstream(settings)
     for _ in range(200):
@@ -215,7 +215,7 @@
     between waits, as it did before, and is not refused.
     """
     settings = AdmissionSettings(
-        slots=4, least_queue=4, queue_share=1.0, queue_seconds=0.2, warmup=0.0
+        slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
     )
     upstream = Upstream(settings)
     for _ in range(200):
@@ -233,7 +233,7 @@
 def test_a_slow_request_alone_does_not_look_like_a_hang():
     """Most requests are quick, one runs for seconds beside them."""
     settings = AdmissionSettings(
-        slots=4, least_queue=4, queue_share=1.0, queue_seconds=0.2, warmup=0.0
+        slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
     )
     upstream = Upstream(settings)
     upstream.arrive(2.5)
@@ -260,6 +260,6 @@
     admission.offer(Waiter(98, 2.5, "get", clock.now() + 9, clock.now()))
     hasty = Waiter(99, 2.5, "get", clock.now() + 0.5, clock.now())
     assert [type(d) for d in admission.offer(hasty)] == [Refuse]
-    admission.restart()
+    admission.reset_estimates()
     hasty = Waiter(100, 2.5, "get", clock.now() + 0.5, clock.now())
     assert [type(d) for d in admission.offer(hasty)] == [Start]
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
@@ -47,8 +47,8 @@
             self.clock,
             AdmissionSettings(
                 slots=_SLOTS,
-                queue_share=1.5,
-                queue_seconds=0.2,
+                queue_ratio=1.5,
+                queue_delay=0.2,
                 surge_sample=100,
                 warmup=0.0,
                 adaptive=False,
@@ -80,9 +80,9 @@
                     self.admission.withdraw(waiter)
                     self.fail(key)
             if now >= next_tick:
-                next_tick = now + AdmissionController.TICK
+                next_tick = now + AdmissionController.TICK_SECONDS
                 self.take(self.admission.tick())
-                self.cuts.append((now, self.admission.cut))
+                self.cuts.append((now, self.admission.threshold))
 
     def known_cut(self) -> float:
         old = [c for at, c in self.cuts[-5:] if at <= self.clock.now() - _DELAY]
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_starved_waiters.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_starved_waiters.py
@@ -29,10 +29,10 @@
             self.clock,
             AdmissionSettings(
                 slots=4,
-                queue_share=4.0,
+                queue_ratio=4.0,
                 warmup=0.0,
                 adaptive=False,
-                longest_wait=longest_wait,
+                max_wait=longest_wait,
             ),
         )
         self.refused: list[tuple[Reason, float, float]] = []
@@ -92,10 +92,10 @@
     lowest = {}
     for longest_wait in (0.2, inf):
         upstream = Upstream(longest_wait)
-        lowest[longest_wait] = upstream.admission.cut
+        lowest[longest_wait] = upstream.admission.threshold
         for _ in range(100):
             upstream.run(0.1, RATES)
-            cut = upstream.admission.cut
+            cut = upstream.admission.threshold
             lowest[longest_wait] = min(lowest[longest_wait], cut)
     assert lowest[0.2] < 1.6
     assert lowest[inf] == 5.0
--- a/packages/rattanfork-core/rattanfork_core/admission/cut.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/threshold.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from rattanfork_core.admission.demand import DemandHistogram
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 #: First and longest step up while the upstream has idle slots, in ranks.
 _FIRST_RISE = 1.0 / 32
@@ -26,7 +26,7 @@
 _LEAST_CUT = 0.02
 
 
-class ShedCut:
+class AdmissionThreshold:
     """The rank from which a guard sheds.
 
     Explanation
@@ -59,7 +59,7 @@
     Examples
     ========
 
-    >>> cut = ShedCut()
+    >>> cut = AdmissionThreshold()
     >>> cut.value
     5.0
     >>> for i in range(100):
@@ -71,7 +71,7 @@
 
     def __init__(self, surge_sample: int = _RECENT) -> None:
         self._surge_sample = surge_sample
-        self._value = float(RANKS)
+        self._value = float(RANK_LIMIT)
         self._rise = _FIRST_RISE
         self._demand = DemandHistogram()
         self._recent: deque[tuple[float, float]] = deque(maxlen=surge_sample)
@@ -148,14 +148,14 @@
                 self._trim(-capacity * _TRIM)
             elif queue_share < _QUEUE_LOW:
                 self._trim(capacity * _TRIM)
-        self._value = min(float(RANKS), max(_LEAST_CUT, self._value))
+        self._value = min(float(RANK_LIMIT), max(_LEAST_CUT, self._value))
         self._demand.age(self._value)
 
     def _trim(self, per_tick: float) -> None:
         demand = self._demand
-        count = per_tick / demand.per_tick
+        count = per_tick / demand.tick_fraction
         if per_tick < 0:
-            moved = demand.rank_at(max(0.0, demand.below(self._value) + count))
+            moved = demand.rank_at(max(0.0, demand.count_below(self._value) + count))
             self._value = min(self._value - _LEAST_TRIM, moved)
         else:
             rise = demand.rank_above(self._value, count) - self._value
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/ledger.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/ledger.py
@@ -71,7 +71,7 @@
     See Also
     ========
 
-    rattanfork_core.request.RequestMachine : asks for fences.
+    rattanfork_core.request.RequestStateMachine : asks for fences.
     """
 
     def __init__(
--- a/packages/rattanfork-core/rattanfork_core/hints/chain.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/chain.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.hints.reach import ChainReach
 from rattanfork_core.hints.reports import GateReports
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 
 class ChainThresholds:
@@ -53,7 +53,7 @@
     def cut(self, operation: str, service: str) -> float:
         """Return the rank from which the operation's chain would be broken."""
         if not len(self._reports):
-            return float(RANKS)
+            return float(RANK_LIMIT)
         return min(self.told(operation, service).values())
 
     def told(self, operation: str, service: str) -> dict[str, float]:
--- a/packages/rattanfork-core/rattanfork_core/hints/early.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/early.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.hints.table import HintTable
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.routing import InstancePicker
 
 #: Seconds for which a threshold heard is believed as it is, ranks by which it
@@ -110,7 +110,7 @@
     def pressure(self, picker: InstancePicker, operation: str) -> float:
         """Return 0 while all is admitted, up to 1 when nothing is."""
         cuts = [self._hints.cut(operation, state.name) for state in picker.subset]
-        return 1.0 - max(cuts) / RANKS
+        return 1.0 - max(cuts) / RANK_LIMIT
 
     def told(
         self, picker: InstancePicker, operation: str
--- a/packages/rattanfork-core/rattanfork_core/hints/reports.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/reports.py
@@ -7,9 +7,9 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.hashing import hash64
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
-_OPEN = float(RANKS)
+_OPEN = float(RANK_LIMIT)
 #: Parts of a rank in which thresholds travel.
 _PARTS = 50
 #: Gates of one service that tell their thresholds; more say nothing new, and what
@@ -28,7 +28,7 @@
 #: off from all news neither stays shut nor opens to everything at once.
 _RISE = 1.0
 #: Seconds after which nothing is left of any report.
-_FORGOTTEN_AFTER = _FRESH + RANKS / _RISE
+_FORGOTTEN_AFTER = _FRESH + RANK_LIMIT / _RISE
 #: Seconds for which a gate goes on telling that nothing is wrong any more.
 _SOUND_TOLD_FOR = 2.0
 #: Seconds for which a node passes a report on, and how many times: each node that
--- a/packages/rattanfork-core/rattanfork_core/hints/table.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/table.py
@@ -1,9 +1,9 @@
 """What this node has heard of other guards' thresholds."""
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
-_OPEN = float(RANKS)
+_OPEN = float(RANK_LIMIT)
 #: How far above the cut, in ranks, a probe may be.
 _PROBE_REACH = 0.2
 #: Seconds after which a probe without a reply counts as lost.  Most runs take
--- a/packages/rattanfork-core/rattanfork_core/hints/tests/deep_fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/hints/tests/deep_fleet.py
@@ -44,7 +44,7 @@
 REFUSAL = 0.003
 #: Seconds that a message takes.
 HOP = 0.001
-TICK = AdmissionController.TICK
+TICK = AdmissionController.TICK_SECONDS
 #: Members told at each tick.
 TOLD = 2
 
@@ -127,8 +127,8 @@
             fleet.clock,
             AdmissionSettings(
                 slots=SLOTS,
-                queue_share=1.5,
-                queue_seconds=0.2,
+                queue_ratio=1.5,
+                queue_delay=0.2,
                 surge_sample=100,
                 warmup=0.0,
                 adaptive=False,
@@ -212,7 +212,7 @@
     def tick(self) -> None:
         """Tell the fleet what is known."""
         if self.gate is not None:
-            self.reports.report(DEEP, self.gate.admission.cut, impaired=False)
+            self.reports.report(DEEP, self.gate.admission.threshold, impaired=False)
         news = self.reports.news()
         if news:
             for other in self.fleet.random.sample(self.fleet.nodes, TOLD):
@@ -371,7 +371,7 @@
         now = self.clock.now()
         state.on_done(now, call.sent_at, failed=False)
         state.busy = gate.busy
-        cut = gate.admission.cut
+        cut = gate.admission.threshold
         request.upper.deeper.hear(request.kind.name, gate.name, cut)
         if end != "ran":
             call.tried |= {gate.name}
--- a/packages/rattanfork-core/rattanfork_core/quota/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/__init__.py
@@ -2,21 +2,21 @@
 
 from rattanfork_core.quota.bound import QuotaBound
 from rattanfork_core.quota.bucket import TokenBucket
-from rattanfork_core.quota.equal import EqualShares
+from rattanfork_core.quota.equal_split import EqualSplitQuota
 from rattanfork_core.quota.issuer import Grant, TokenIssuer
 from rattanfork_core.quota.leases import TokenLeases, TokenRequest
-from rattanfork_core.quota.maximum import RecentMaximum
-from rattanfork_core.quota.quota import Quota, Verdict
+from rattanfork_core.quota.quota import Quota, QuotaDecision
+from rattanfork_core.quota.windowed_maximum import WindowedMaximum
 
 __all__ = [
-    "EqualShares",
+    "EqualSplitQuota",
     "Grant",
     "Quota",
     "QuotaBound",
-    "RecentMaximum",
+    "WindowedMaximum",
     "TokenBucket",
     "TokenIssuer",
     "TokenLeases",
     "TokenRequest",
-    "Verdict",
+    "QuotaDecision",
 ]
--- a/packages/rattanfork-core/rattanfork_core/quota/bound.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bound.py
@@ -35,41 +35,43 @@
 
     >>> bound = QuotaBound()
     >>> account = ClientAccount("clerks", rate=10, burst=10)
-    >>> bound.limit(account), bound.most(account), bound.allowance(account)
-    (60.0, 86.0, 26.0)
+    >>> bound.window_limit(account), bound.allowance(account)
+    (60.0, 26.0)
+    >>> bound.max_requests(account)
+    86.0
     """
 
     window: float = 5.0
     excess: float = 0.1
     slack: float = 20.0
 
-    def limit(self, account: ClientAccount) -> float:
+    def window_limit(self, account: ClientAccount) -> float:
         """Return the requests that are within the quota in a window."""
         return account.rate * self.window + account.burst
 
     def sustained_rate(self, account: ClientAccount) -> float:
         """Return the requests a second that keep within the quota for ever."""
-        return self.granted(account) / self.window
+        return self.issue_limit(account) / self.window
 
-    def granted(self, account: ClientAccount) -> float:
+    def issue_limit(self, account: ClientAccount) -> float:
         """Return the requests that are let in at most in a window.
 
         Arrivals that are random exceed the limit in some windows though their mean
         is well below it.
         """
-        return self.limit(account) + _GRANTED_PART * self.allowance(account)
+        return self.window_limit(account) + _GRANTED_PART * self.allowance(account)
 
-    def depth(self, account: ClientAccount) -> float:
+    def bucket_depth(self, account: ClientAccount) -> float:
         """Return the requests that may be let in at once."""
         return max(1.0, account.burst + _GRANTED_PART * self.allowance(account))
 
-    def most(self, account: ClientAccount) -> float:
+    def max_requests(self, account: ClientAccount) -> float:
         """Return the requests that may run in any window."""
-        return self.limit(account) + self.allowance(account)
+        return self.window_limit(account) + self.allowance(account)
 
     def allowance(self, account: ClientAccount) -> float:
         """Return the requests by which the limit may be exceeded in a window."""
-        return self.limit(account) * self.excess + self.slack
+        return self.window_limit(account) * self.excess + self.slack
 
     def lease_time(self, account: ClientAccount) -> float:
         """Return the seconds after which an unused token is void.
@@ -80,6 +82,6 @@
         seconds = allowed / self.sustained_rate(account)
         return min(max(seconds, _SHORTEST_LEASE), _LONGEST_LEASE)
 
-    def start_level(self, account: ClientAccount) -> float:
+    def initial_level(self, account: ClientAccount) -> float:
         """Return the tokens of an issuer that has just taken an account over."""
         return min(_START_PART * self.allowance(account), _MOST_START)
--- a/packages/rattanfork-core/rattanfork_core/quota/bucket.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bucket.py
@@ -25,7 +25,7 @@
     >>> bucket.take(2)
     1
     >>> clock.advance(0.5)
-    >>> bucket.fill(rate=4, most=10)
+    >>> bucket.refill(rate=4, capacity=10)
     >>> bucket.level
     2.0
     """
@@ -44,7 +44,7 @@
         """Tokens that are there."""
         return self._level
 
-    def fill(self, rate: float, most: float) -> None:
+    def refill(self, rate: float, capacity: float) -> None:
         """Add what has come since the last time.
 
         Parameters
@@ -52,12 +52,12 @@
 
         rate : float
             Tokens a second.
-        most : float
+        capacity : float
             Tokens that are kept at most; no token that is there is lost by a rate
             that came down.
         """
         now = self._clock.now()
-        self._level = min(most, self._level + rate * (now - self._then))
+        self._level = min(capacity, self._level + rate * (now - self._then))
         self._then = now
 
     def take(self, count: int) -> int:
@@ -66,6 +66,6 @@
         self._level -= taken
         return taken
 
-    def put(self, count: int) -> None:
+    def refund(self, count: int) -> None:
         """Return tokens that were not used."""
         self._level += count
--- a/packages/rattanfork-core/rattanfork_core/quota/equal.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/equal_split.py
@@ -5,10 +5,10 @@
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import Clock
 from rattanfork_core.quota.bucket import TokenBucket
-from rattanfork_core.quota.quota import Decided, Quota, Verdict
+from rattanfork_core.quota.quota import DecisionCallback, Quota, QuotaDecision
 
 
-class EqualShares(Quota):
+class EqualSplitQuota(Quota):
     """Gives each node an equal part of each limit.
 
     Explanation
@@ -23,7 +23,7 @@
 
     clock : Clock
         Source of the current time.
-    fleet : callable
+    fleet_size : callable
         Returns how many nodes there are.
 
     Examples
@@ -31,7 +31,7 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> verdicts = []
-    >>> quota = EqualShares(ManualClock(), lambda: 10)
+    >>> quota = EqualSplitQuota(ManualClock(), lambda: 10)
     >>> account = ClientAccount("clerks", rate=10, burst=10)
     >>> for _ in range(2):
     ...     quota.take(account, lambda verdict, after: verdicts.append(verdict.value))
@@ -39,15 +39,15 @@
     ['granted', 'exhausted']
     """
 
-    def __init__(self, clock: Clock, fleet: Callable[[], int]) -> None:
+    def __init__(self, clock: Clock, fleet_size: Callable[[], int]) -> None:
         self._clock = clock
-        self._fleet = fleet
+        self._fleet = fleet_size
         self._buckets: dict[str, TokenBucket] = {}
 
-    def take(self, account: ClientAccount, decided: Decided) -> None:
+    def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
         """Decide at once, from this node's part."""
         if not account.limited:
-            decided(Verdict.GRANTED, 0.0)
+            decided(QuotaDecision.GRANTED, 0.0)
             return
         part = 1 / max(1, self._fleet())
         most = max(1.0, account.burst * part)
@@ -55,17 +55,17 @@
         if bucket is None:
             bucket = self._buckets[account.name] = TokenBucket(self._clock, most)
         rate = account.rate * part
-        bucket.fill(rate, most)
+        bucket.refill(rate, most)
         if bucket.take(1):
-            decided(Verdict.GRANTED, 0.0)
+            decided(QuotaDecision.GRANTED, 0.0)
         else:
-            decided(Verdict.EXHAUSTED, (1 - bucket.level) / rate)
+            decided(QuotaDecision.EXHAUSTED, (1 - bucket.level) / rate)
 
-    def give_back(self, account: ClientAccount, granted_at: float) -> None:
+    def refund(self, account: ClientAccount, granted_at: float) -> None:
         """Return the token to this node's part."""
         bucket = self._buckets.get(account.name)
         if bucket is not None:
-            bucket.put(1)
+            bucket.refund(1)
 
     def tick(self) -> None:
         """Do nothing: no message is under way."""
--- a/packages/rattanfork-core/rattanfork_core/quota/issuer.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/issuer.py
@@ -87,13 +87,13 @@
         By how much limits may be exceeded.
     is_primary : callable
         Whether this node is first in order for an account, by name.
-    in_doubt : callable
+    predecessor_uncertain : callable
         Whether a node before it in that order may still be issuing, unseen.
-    present : callable
+    visible_nodes : callable
         Returns how many nodes this node sees.
-    fleet : callable
+    fleet_size : callable
         Returns how many nodes it has lately seen at most.
-    settled_at : callable
+    order_changed_at : callable
         Returns when the order of nodes changed last, for any account.
 
     Examples
@@ -105,10 +105,10 @@
     ...     clock,
     ...     QuotaBound(),
     ...     is_primary=lambda name: True,
-    ...     in_doubt=lambda name: False,
-    ...     present=lambda: 10,
-    ...     fleet=lambda: 10,
-    ...     settled_at=lambda: 0.0,
+    ...     predecessor_uncertain=lambda name: False,
+    ...     visible_nodes=lambda: 10,
+    ...     fleet_size=lambda: 10,
+    ...     order_changed_at=lambda: 0.0,
     ... )
     >>> account = ClientAccount("clerks", rate=10, burst=10)
     >>> issuer.issue(account, 4, "n1")
@@ -120,18 +120,18 @@
         clock: Clock,
         bound: QuotaBound,
         is_primary: Callable[[str], bool],
-        in_doubt: Callable[[str], bool],
-        present: Callable[[], int],
-        fleet: Callable[[], int],
-        settled_at: Callable[[], float],
+        predecessor_uncertain: Callable[[str], bool],
+        visible_nodes: Callable[[], int],
+        fleet_size: Callable[[], int],
+        order_changed_at: Callable[[], float],
     ) -> None:
         self._clock = clock
         self._bound = bound
         self._is_primary = is_primary
-        self._in_doubt = in_doubt
-        self._present = present
-        self._fleet = fleet
-        self._settled_at = settled_at
+        self._in_doubt = predecessor_uncertain
+        self._present = visible_nodes
+        self._fleet = fleet_size
+        self._settled_at = order_changed_at
         self._accounts: dict[str, _Account] = {}
         #: Smallest part of the fleet seen lately, and when.
         self._lowest_part = (1.0, clock.now())
@@ -149,9 +149,9 @@
         state.last_asked = now
         state.askers[asker] = now
         rate = self._rate(account, state, now)
-        state.bucket.fill(rate, self._bound.depth(account))
+        state.bucket.refill(rate, self._bound.bucket_depth(account))
         issued, _ = state.counted.totals()
-        most = self._bound.granted(account) * self._part
+        most = self._bound.issue_limit(account) * self._part
         left = max(0, int(most - issued))
         tokens = state.bucket.take(min(count, left))
         state.counted.add(tokens, count - tokens)
@@ -161,7 +161,7 @@
             return Grant(tokens, 0.0)
         return Grant(tokens, 1 / max(rate, account.rate / 10))
 
-    def sweep(self) -> None:
+    def drop_idle_accounts(self) -> None:
         """Forget accounts that nobody asks for; call once a second or so."""
         now = self._clock.now()
         for name, state in list(self._accounts.items()):
@@ -176,7 +176,7 @@
         if state is None:
             if len(self._accounts) >= _MOST_ACCOUNTS:
                 self._accounts.pop(next(iter(self._accounts)))
-            level = self._bound.start_level(account) * self._part
+            level = self._bound.initial_level(account) * self._part
             primary = self._is_primary(account.name)
             since = self._settled_at() if primary else None
             state = _Account(self._clock, self._bound.window, level, since)
--- a/packages/rattanfork-core/rattanfork_core/quota/leases.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/leases.py
@@ -8,7 +8,7 @@
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import Clock
 from rattanfork_core.quota.bound import QuotaBound
-from rattanfork_core.quota.quota import Decided, Quota, Verdict
+from rattanfork_core.quota.quota import DecisionCallback, Quota, QuotaDecision
 
 #: Seconds without a reply after which another request is sent, and places of the
 #: issuers that are asked by turns before those that wait are refused: a lost datagram
@@ -78,7 +78,7 @@
         self.account = account
         self.tokens = 0
         self.expires = 0.0
-        self.waiting: deque[Decided] = deque()
+        self.waiting: deque[DecisionCallback] = deque()
         #: Number of the request that is under way; 0 without one.
         self.asked = 0
         self.tries = 0
@@ -157,10 +157,10 @@
     def __len__(self) -> int:
         return len(self._leases)
 
-    def take(self, account: ClientAccount, decided: Decided) -> None:
+    def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
         """Use a token, or ask for one."""
         if not account.limited:
-            decided(Verdict.GRANTED, 0.0)
+            decided(QuotaDecision.GRANTED, 0.0)
             return
         now = self._clock.now()
         lease = self._leases.get(account.name)
@@ -170,17 +170,19 @@
         self._count(lease, now)
         if lease.tokens and now < lease.expires:
             lease.tokens -= 1
-            decided(Verdict.GRANTED, 0.0)
+            decided(QuotaDecision.GRANTED, 0.0)
             if not lease.tokens and not lease.asked and self._ahead(lease):
                 self._ask(lease, now)
         elif now < lease.blocked_until or len(lease.waiting) >= _MOST_WAITING:
-            decided(Verdict.EXHAUSTED, self._return_after(lease.blocked_until - now))
+            decided(
+                QuotaDecision.EXHAUSTED, self._return_after(lease.blocked_until - now)
+            )
         else:
             lease.waiting.append(decided)
             if not lease.asked:
                 self._ask(lease, now)
 
-    def give_back(self, account: ClientAccount, granted_at: float) -> None:
+    def refund(self, account: ClientAccount, granted_at: float) -> None:
         """Let another request use a token, if it is not void yet."""
         lease = self._leases.get(account.name)
         if lease is not None and account.limited:
@@ -210,11 +212,11 @@
         left = tokens if now - asked.at < _LATEST_REPLY else 0
         while left and lease.waiting:
             left -= 1
-            lease.waiting.popleft()(Verdict.GRANTED, 0.0)
+            lease.waiting.popleft()(QuotaDecision.GRANTED, 0.0)
         self._add(lease, left, asked.at + self._bound.lease_time(lease.account), now)
         if wait > 0:
             lease.blocked_until = now + min(wait, _LONGEST_BLOCK)
-            self._refuse(lease, Verdict.EXHAUSTED, wait)
+            self._refuse(lease, QuotaDecision.EXHAUSTED, wait)
         elif lease.waiting and not lease.asked:
             self._ask(lease, now)
 
@@ -236,7 +238,7 @@
         issuers = self._issuers(lease.account.name)
         if not issuers:
             lease.asked = lease.tries = 0
-            self._refuse(lease, Verdict.UNREACHABLE, _UNREACHABLE_RETRY)
+            self._refuse(lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY)
             return
         self._number += 1
         lease.asked = self._number
@@ -251,7 +253,7 @@
             self._ask(lease, now)
             return
         lease.asked = lease.tries = 0
-        self._refuse(lease, Verdict.UNREACHABLE, _UNREACHABLE_RETRY)
+        self._refuse(lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY)
 
     def _add(self, lease: _Lease, tokens: int, expires: float, now: float) -> None:
         if not tokens or now >= expires:
@@ -261,7 +263,7 @@
         lease.expires = min(lease.expires, expires) if lease.tokens else expires
         lease.tokens += tokens
 
-    def _refuse(self, lease: _Lease, verdict: Verdict, wait: float) -> None:
+    def _refuse(self, lease: _Lease, verdict: QuotaDecision, wait: float) -> None:
         waiting, lease.waiting = lease.waiting, deque()
         for decided in waiting:
             decided(verdict, self._return_after(wait))
--- a/packages/rattanfork-core/rattanfork_core/quota/quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/quota.py
@@ -7,7 +7,7 @@
 from rattanfork_core.client_accounts import ClientAccount
 
 
-class Verdict(Enum):
+class QuotaDecision(Enum):
     """What a quota says to a request."""
 
     #: It is within the limit.
@@ -19,18 +19,18 @@
 
 
 #: Gets the verdict, and the seconds after which a refused caller should come back.
-Decided = Callable[[Verdict, float], None]
+DecisionCallback = Callable[[QuotaDecision, float], None]
 
 
 class Quota(ABC):
     """Holds the requests of accounts to their limits, over all nodes together."""
 
     @abstractmethod
-    def take(self, account: ClientAccount, decided: Decided) -> None:
+    def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
         """Ask for one request to be let in; ``decided`` is called once."""
 
     @abstractmethod
-    def give_back(self, account: ClientAccount, granted_at: float) -> None:
+    def refund(self, account: ClientAccount, granted_at: float) -> None:
         """Take note that a request that was let in has not run and never will.
 
         Parameters
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
@@ -10,14 +10,14 @@
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.hashing import hash64
 from rattanfork_core.quota import (
-    EqualShares,
+    EqualSplitQuota,
     Quota,
     QuotaBound,
-    RecentMaximum,
+    QuotaDecision,
     TokenIssuer,
     TokenLeases,
     TokenRequest,
-    Verdict,
+    WindowedMaximum,
 )
 
 #: Seconds between nodes, between two ticks, and until a failure is known to all.
@@ -34,7 +34,7 @@
         self.alive = set(range(fleet.size))
         self.doubtful: set[int] = set()
         self.settled_at = fleet.clock.now()
-        self.largest = RecentMaximum(fleet.clock, 30.0, fleet.size)
+        self.largest = WindowedMaximum(fleet.clock, 30.0, fleet.size)
         self.issuer = TokenIssuer(
             fleet.clock,
             fleet.bound,
@@ -172,11 +172,11 @@
             most = max(most, len(window))
         return most
 
-    def _decided(self, verdict: Verdict, after: float) -> None:
+    def _decided(self, verdict: QuotaDecision, after: float) -> None:
         into = {
-            Verdict.GRANTED: self.granted,
-            Verdict.EXHAUSTED: self.refused,
-            Verdict.UNREACHABLE: self.unreachable,
+            QuotaDecision.GRANTED: self.granted,
+            QuotaDecision.EXHAUSTED: self.refused,
+            QuotaDecision.UNREACHABLE: self.unreachable,
         }
         into[verdict].append(self.clock.now())
 
@@ -210,7 +210,7 @@
 
     def __init__(self, size: int, account: ClientAccount) -> None:
         super().__init__(size, account)
-        self._shares = [EqualShares(self.clock, lambda: size) for _ in range(size)]
+        self._shares = [EqualSplitQuota(self.clock, lambda: size) for _ in range(size)]
 
     def quota(self, place: int) -> Quota:
         return self._shares[place]
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.quota import QuotaBound, TokenIssuer, TokenLeases, Verdict
+from rattanfork_core.quota import QuotaBound, QuotaDecision, TokenIssuer, TokenLeases
 from rattanfork_core.quota.tests.fleet import EqualFleet, Fleet
 
 SMALL = ClientAccount("small", rate=5, burst=5)
@@ -36,7 +36,7 @@
         fleet.run(6.0)
         fleet.demand(0.9 * account.rate, 20.0)
         fleet.run(21.0)
-        assert fleet.most_in_window() <= BOUND.most(account)
+        assert fleet.most_in_window() <= BOUND.max_requests(account)
         lost.append(len(fleet.refused) + len(fleet.unreachable))
     equal, leased = lost
     assert leased < equal
@@ -49,7 +49,7 @@
     fleet.run(6.0)
     fleet.demand(5 * account.rate, 20.0)
     fleet.run(21.0)
-    assert fleet.most_in_window() <= BOUND.most(account)
+    assert fleet.most_in_window() <= BOUND.max_requests(account)
     assert len(fleet.granted) >= 0.9 * account.rate * 20
 
 
@@ -84,7 +84,7 @@
     fleet.run(31.0)
     lost = len(fleet.refused) + len(fleet.unreachable)
     assert lost <= 0.02 * len(fleet.granted)
-    assert fleet.most_in_window() <= BOUND.most(MIDDLE)
+    assert fleet.most_in_window() <= BOUND.max_requests(MIDDLE)
 
 
 def test_account_is_served_again_soon_after_its_issuer_has_failed():
@@ -106,7 +106,7 @@
     fleet.demand(6 * account.rate, 20.0)
     fleet.at(8.0, lambda: fleet.kill(set(range(30)), 0.8))
     fleet.run(21.0)
-    assert fleet.most_in_window() <= BOUND.most(account)
+    assert fleet.most_in_window() <= BOUND.max_requests(account)
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
@@ -119,7 +119,7 @@
     fleet.at(6.0, lambda: fleet.split(*halves))
     fleet.at(15.0, lambda: fleet.split(set(range(30))))
     fleet.run(21.0)
-    assert fleet.most_in_window() <= BOUND.most(account)
+    assert fleet.most_in_window() <= BOUND.max_requests(account)
 
 
 def test_isolated_nodes_let_in_no_more_than_their_part():
@@ -130,7 +130,7 @@
     isolated = [{name} for name in range(15)]
     fleet.at(6.0, lambda: fleet.split(set(range(15, 30)), *isolated))
     fleet.run(21.0)
-    assert fleet.most_in_window() <= BOUND.most(LARGE)
+    assert fleet.most_in_window() <= BOUND.max_requests(LARGE)
 
 
 _FAULTS = st.lists(
@@ -154,7 +154,7 @@
         at += pause
         fleet.at(at, lambda kind=kind, names=names: _strike(fleet, kind, names))
     fleet.run(26.0)
-    assert fleet.most_in_window() <= BOUND.most(account)
+    assert fleet.most_in_window() <= BOUND.max_requests(account)
 
 
 def _strike(fleet: Fleet, kind: str, names: set[int]) -> None:
@@ -181,7 +181,7 @@
     leases = TokenLeases(
         clock, Random(1), BOUND, lambda name: ["n1"], lambda *asked: sent.append(asked)
     )
-    for late, expected in ((0.3, [Verdict.GRANTED]), (0.6, [])):
+    for late, expected in ((0.3, [QuotaDecision.GRANTED]), (0.6, [])):
         leases.take(LARGE, lambda verdict, after: verdicts.append(verdict))
         clock.advance(late)
         leases.on_reply(sent[-1][1].number, tokens=1, wait=0.0)
@@ -195,10 +195,10 @@
         clock,
         BOUND,
         is_primary=lambda name: True,
-        in_doubt=lambda name: False,
-        present=lambda: 12,
-        fleet=lambda: 12,
-        settled_at=lambda: 0.0,
+        predecessor_uncertain=lambda name: False,
+        visible_nodes=lambda: 12,
+        fleet_size=lambda: 12,
+        order_changed_at=lambda: 0.0,
     )
     issuer.issue(LARGE, 0, "n1")
     for _ in range(80):
@@ -209,7 +209,7 @@
     for _ in range(100):
         clock.advance(0.1)
         issued += issuer.issue(lowered, 9, "n1").tokens
-    assert issued <= BOUND.most(lowered) * 2
+    assert issued <= BOUND.max_requests(lowered) * 2
 
 
 def test_state_of_accounts_that_nobody_asks_for_is_dropped():
@@ -220,5 +220,5 @@
     assert len(fleet.nodes[0].leases) == 1
     fleet.run(60.0)
     for node in fleet.nodes:
-        node.issuer.sweep()
+        node.issuer.drop_idle_accounts()
         assert len(node.leases) == len(node.issuer) == 0
--- a/packages/rattanfork-core/rattanfork_core/quota/maximum.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/windowed_maximum.py
@@ -5,7 +5,7 @@
 from rattanfork_core.clock import Clock
 
 
-class RecentMaximum:
+class WindowedMaximum:
     """The largest value that a figure has had in the last seconds.
 
     Parameters
@@ -13,7 +13,7 @@
 
     clock : Clock
         Source of the current time.
-    memory : float
+    window : float
         Seconds for which a value counts after it has changed.
     value : int
         The figure now.
@@ -23,7 +23,7 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> size = RecentMaximum(clock, memory=30, value=58)
+    >>> size = WindowedMaximum(clock, window=30, value=58)
     >>> clock.advance(100)
     >>> size.update(20)
     >>> size.value
@@ -33,9 +33,9 @@
     20
     """
 
-    def __init__(self, clock: Clock, memory: float, value: int) -> None:
+    def __init__(self, clock: Clock, window: float, value: int) -> None:
         self._clock = clock
-        self._memory = memory
+        self._memory = window
         #: Falling values, each with the time at which it changed; the last holds on.
         self._values: deque[tuple[float, int]] = deque([(clock.now(), value)])
 
--- a/packages/rattanfork-core/rattanfork_core/request/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/request/__init__.py
@@ -8,17 +8,17 @@
     SendCancel,
     SendFence,
 )
-from rattanfork_core.request.fate import request_fate, request_rank
 from rattanfork_core.request.fingerprint import (
-    fingerprint_text,
+    format_fingerprint,
     request_fingerprint,
 )
 from rattanfork_core.request.importance import Importance
-from rattanfork_core.request.machine import RequestMachine
 from rattanfork_core.request.outcome import Outcome, Reason
 from rattanfork_core.request.progress import rank_of_call
 from rattanfork_core.request.result import CallResult, FenceVerdict
-from rattanfork_core.request.retry_after import spread_retry_after
+from rattanfork_core.request.retry_after import jittered_retry_after
+from rattanfork_core.request.state_machine import RequestStateMachine
+from rattanfork_core.request.tiebreak import request_rank, request_tiebreak
 
 __all__ = [
     "Attempt",
@@ -30,14 +30,14 @@
     "Importance",
     "Outcome",
     "Reason",
-    "RequestMachine",
+    "RequestStateMachine",
     "SendCall",
     "SendCancel",
     "SendFence",
-    "fingerprint_text",
+    "format_fingerprint",
     "rank_of_call",
-    "request_fate",
+    "request_tiebreak",
     "request_fingerprint",
     "request_rank",
-    "spread_retry_after",
+    "jittered_retry_after",
 ]
--- a/packages/rattanfork-core/rattanfork_core/request/fingerprint.py
+++ b/packages/rattanfork-core/rattanfork_core/request/fingerprint.py
@@ -39,13 +39,13 @@
     return digest.intdigest()
 
 
-def fingerprint_text(fingerprint: int) -> str:
+def format_fingerprint(fingerprint: int) -> str:
     """Return a fingerprint as log lines and commands show it.
 
     Examples
     ========
 
-    >>> fingerprint_text(255)
+    >>> format_fingerprint(255)
     '00000000000000ff'
     """
     return f"{fingerprint:016x}"
--- a/packages/rattanfork-core/rattanfork_core/request/importance.py
+++ b/packages/rattanfork-core/rattanfork_core/request/importance.py
@@ -43,5 +43,5 @@
         return self.name.lower()
 
 
-#: Ranks lie in ``[0, RANKS)``: the importance plus the request's fate.
-RANKS = len(Importance)
+#: Ranks lie in ``[0, RANK_LIMIT)``: the importance plus the request's fate.
+RANK_LIMIT = len(Importance)
--- a/packages/rattanfork-core/rattanfork_core/request/progress.py
+++ b/packages/rattanfork-core/rattanfork_core/request/progress.py
@@ -2,11 +2,11 @@
 
 from math import floor
 
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 #: Parts of each importance within which requests that have gone further go first: one
 #: for each importance of a route, where that of the account goes before it.
-_CELLS = RANKS
+_CELLS = RANK_LIMIT
 
 
 def rank_of_call(rank: float, succeeded: int) -> float:
--- a/packages/rattanfork-core/rattanfork_core/request/retry_after.py
+++ b/packages/rattanfork-core/rattanfork_core/request/retry_after.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 
-def spread_retry_after(base: float, rank: float, random: Random) -> float:
+def jittered_retry_after(base: float, rank: float, random: Random) -> float:
     """Return seconds after which a refused caller should come back.
 
     Explanation
@@ -29,8 +29,8 @@
     Examples
     ========
 
-    >>> 1 <= spread_retry_after(1.0, 2.5, Random(1)) <= 4.5
+    >>> 1 <= jittered_retry_after(1.0, 2.5, Random(1)) <= 4.5
     True
     """
-    urgency = 1.0 + 0.5 * rank / RANKS
+    urgency = 1.0 + 0.5 * rank / RANK_LIMIT
     return base * urgency * random.uniform(1.0, 3.0)
--- a/packages/rattanfork-core/rattanfork_core/request/machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -22,7 +22,7 @@
 _REACHED_NOBODY = frozenset((Reason.UPSTREAM_SHED, Reason.NO_REPEAT))
 
 
-class RequestMachine:
+class RequestStateMachine:
     """Decides every step of a request from its arrival to its final answer.
 
     Explanation
@@ -52,7 +52,7 @@
         key of that instance.
     may_retry : callable
         Asked last before a retry: the retry budget of the target.
-    free_refusals : int
+    free_retries : int
         Attempts that an upstream itself refused as not run and that cost
         nothing of the account: what may run is bounded by the account, what
         is sent by ``may_retry``.
@@ -63,7 +63,7 @@
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
     >>> account = Account(clock, deadline=1.0, attempts=1)
-    >>> machine = RequestMachine(account, True, lambda avoid: "w1")
+    >>> machine = RequestStateMachine(account, True, lambda avoid: "w1")
     >>> machine.start()
     [SendCall(attempt=1, instance='w1', lent_attempts=1)]
     >>> [finish] = machine.on_result(1, CallResult(Outcome.ANSWERED, status=200))
@@ -83,14 +83,14 @@
         pick: Picker,
         pinned: str | None = None,
         may_retry: Callable[[], bool] = lambda: True,
-        free_refusals: int = 0,
+        free_retries: int = 0,
     ) -> None:
         self._account = account
         self._idempotent = idempotent
         self._pick = pick
         self._pinned = pinned
         self._may_retry = may_retry
-        self._free_refusals = free_refusals
+        self._free_refusals = free_retries
         self._upstream_refused = False
         self._attempts: list[Attempt] = []
         self._avoid: frozenset[str] = frozenset()
@@ -131,7 +131,7 @@
                 self._failure = result
         return self._retry_or_finish(attempt, result)
 
-    def on_link_lost(self, number: int) -> list[Command]:
+    def on_connection_lost(self, number: int) -> list[Command]:
         """Take note that the connection of an attempt is gone or silent."""
         attempt = self._attempts[number - 1]
         if self._finished or attempt.state is not AttemptState.SENT:
@@ -144,7 +144,7 @@
         attempt.state = AttemptState.FENCING
         return [SendFence(number, attempt.instance)]
 
-    def on_fence(self, number: int, verdict: FenceVerdict) -> list[Command]:
+    def on_fence_verdict(self, number: int, verdict: FenceVerdict) -> list[Command]:
         """Take a guard's word on a fenced attempt."""
         attempt = self._attempts[number - 1]
         if self._finished or attempt.state is not AttemptState.FENCING:
@@ -165,7 +165,7 @@
         """Answer at once: the time is up."""
         return self._give_up(Reason.DEADLINE)
 
-    def on_caller_left(self) -> list[Command]:
+    def on_caller_disconnected(self) -> list[Command]:
         """Stop all work: nobody waits for the answer."""
         return self._give_up(Reason.CANCELLED)
 
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
@@ -11,7 +11,7 @@
     Finish,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
     SendFence,
@@ -20,12 +20,12 @@
 INSTANCES = ("a", "b", "c")
 
 
-def machine(idempotent=True, attempts=2, pinned=None) -> RequestMachine:
+def machine(idempotent=True, attempts=2, pinned=None) -> RequestStateMachine:
     def pick(avoid):
         return next((i for i in INSTANCES if i not in avoid), None)
 
     account = Account(ManualClock(), 9.0, attempts)
-    return RequestMachine(account, idempotent, pick, pinned)
+    return RequestStateMachine(account, idempotent, pick, pinned)
 
 
 def refusal() -> CallResult:
@@ -51,14 +51,14 @@
     # node, and run when it wakes.
     request = machine(idempotent=False)
     request.start()
-    assert request.on_link_lost(1) == [SendFence(1, "a")]
+    assert request.on_connection_lost(1) == [SendFence(1, "a")]
 
 
 def test_a_fenced_posting_that_did_not_run_is_tried_elsewhere():
     request = machine(idempotent=False)
     request.start()
-    request.on_link_lost(1)
-    [call] = request.on_fence(1, FenceVerdict.NOT_RUN)
+    request.on_connection_lost(1)
+    [call] = request.on_fence_verdict(1, FenceVerdict.NOT_RUN)
     assert isinstance(call, SendCall)
     assert call.instance == "b"
 
@@ -67,15 +67,15 @@
     for verdict in (FenceVerdict.UNKNOWN, FenceVerdict.HANDED_OVER):
         request = machine(idempotent=False)
         request.start()
-        request.on_link_lost(1)
-        [finish] = request.on_fence(1, verdict)
+        request.on_connection_lost(1)
+        [finish] = request.on_fence_verdict(1, verdict)
         assert finish.result.outcome is Outcome.UNKNOWN
 
 
 def test_a_lost_read_is_tried_elsewhere_without_waiting():
     request = machine()
     request.start()
-    [call] = request.on_link_lost(1)
+    [call] = request.on_connection_lost(1)
     assert call.instance == "b"
 
 
@@ -90,7 +90,7 @@
 
 def test_no_instance_is_proved_not_run():
     account = Account(ManualClock(), 9.0, 2)
-    request = RequestMachine(account, False, lambda avoid: None)
+    request = RequestStateMachine(account, False, lambda avoid: None)
     [finish] = request.start()
     assert finish.result.outcome is Outcome.NOT_RUN
 
@@ -99,7 +99,7 @@
     # The first try may have run; that the second was refused proves nothing.
     request = machine()
     request.start()
-    request.on_link_lost(1)
+    request.on_connection_lost(1)
     answer = CallResult(Outcome.NOT_RUN, Reason.RULE)
     [finish] = request.on_result(2, answer)
     assert finish.result.outcome is Outcome.UNKNOWN
@@ -129,15 +129,15 @@
             lost = CallResult(Outcome.UNKNOWN, retry_elsewhere=True)
             commands += request.on_result(number, lost)
         elif event == "lost":
-            commands += request.on_link_lost(number)
+            commands += request.on_connection_lost(number)
         elif event == "fence":
-            commands += request.on_fence(number, FenceVerdict.NOT_RUN)
+            commands += request.on_fence_verdict(number, FenceVerdict.NOT_RUN)
         elif event == "fenced":
-            commands += request.on_fence(number, FenceVerdict.HANDED_OVER)
+            commands += request.on_fence_verdict(number, FenceVerdict.HANDED_OVER)
         elif event == "deadline":
             commands += request.on_deadline()
         else:
-            commands += request.on_caller_left()
+            commands += request.on_caller_disconnected()
     finishes = [c for c in commands if isinstance(c, Finish)]
     assert len(finishes) <= 1
     sent = [c for c in commands if isinstance(c, SendCall)]
@@ -155,11 +155,11 @@
     Asking once more, also the one that refused before, costs a refusal and no
     run; given up, the call would fail all that was done above it.
     """
-    machine = RequestMachine(
+    machine = RequestStateMachine(
         Account(ManualClock(), deadline=9.0, attempts=0),
         False,
         lambda avoid: None if "a" in avoid else "a",
-        free_refusals=2,
+        free_retries=2,
     )
     refused = CallResult(Outcome.NOT_RUN, Reason.UPSTREAM_SHED, retry_elsewhere=True)
     [first] = machine.start()
@@ -171,11 +171,11 @@
 
 
 def test_a_guard_that_refuses_is_not_asked_again():
-    machine = RequestMachine(
+    machine = RequestStateMachine(
         Account(ManualClock(), deadline=9.0, attempts=0),
         True,
         lambda avoid: None if "a" in avoid else "a",
-        free_refusals=2,
+        free_retries=2,
     )
     shed = CallResult(Outcome.NOT_RUN, Reason.SHED, retry_elsewhere=True)
     [first] = machine.start()
--- a/packages/rattanfork-core/rattanfork_core/request/fate.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tiebreak.py
@@ -6,7 +6,7 @@
 _SPAN = float(1 << 64)
 
 
-def request_fate(request_id: str) -> float:
+def request_tiebreak(request_id: str) -> float:
     """Return a number in ``[0, 1)`` that depends on the request ID alone.
 
     Explanation
@@ -20,9 +20,9 @@
     Examples
     ========
 
-    >>> request_fate("a") == request_fate("a")
+    >>> request_tiebreak("a") == request_tiebreak("a")
     True
-    >>> 0 <= request_fate("b") < 1
+    >>> 0 <= request_tiebreak("b") < 1
     True
     """
     return hash64(request_id) / _SPAN
@@ -41,4 +41,4 @@
     >>> request_rank(Importance.CRITICAL, "y") < 1 <= 3 <= low < 4
     True
     """
-    return importance + request_fate(request_id)
+    return importance + request_tiebreak(request_id)
--- a/packages/rattanfork-core/rattanfork_core/routes/configuration.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/configuration.py
@@ -37,7 +37,7 @@
         All routes.
     services : dict
         What is configured of each service, by name.
-    head_bytes, body_bytes : int
+    max_head_bytes, max_body_bytes : int
         Most bytes of a request's head and body.
     head_timeout, idle_timeout : float
         Seconds for a request's head, and between requests.
@@ -48,8 +48,8 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, ServiceConfig]
-    head_bytes: int = 16_384
-    body_bytes: int = 16 << 20
+    max_head_bytes: int = 16_384
+    max_body_bytes: int = 16 << 20
     head_timeout: float = 3.0
     idle_timeout: float = 15.0
     accounts: AccountIndex | None = None
--- a/packages/rattanfork-core/rattanfork_core/routes/turns.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/round_robin.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterable
 
-from rattanfork_core.routes.route import Share
+from rattanfork_core.routes.route import WeightedService
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Deals requests to services in exact proportion to their weights.
 
     Explanation
@@ -18,12 +18,14 @@
     Examples
     ========
 
-    >>> turns = WeightedTurns([Share("a", 3), Share("b", 1)])
+    >>> turns = WeightedRoundRobin(
+    ...     [WeightedService("a", 3), WeightedService("b", 1)]
+    ... )
     >>> [turns.next() for _ in range(8)]
     ['a', 'a', 'b', 'a', 'a', 'a', 'b', 'a']
     """
 
-    def __init__(self, shares: Iterable[Share]) -> None:
+    def __init__(self, shares: Iterable[WeightedService]) -> None:
         self._shares = [(s.service, s.weight) for s in shares if s.weight > 0]
         self._total = sum(weight for _, weight in self._shares)
         self._credit = dict.fromkeys((name for name, _ in self._shares), 0.0)
--- a/packages/rattanfork-core/rattanfork_core/routes/route.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/route.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class WeightedService:
     """A service among which a route's requests are divided.
 
     Parameters
@@ -35,7 +35,7 @@
         Host that requests name, in lower case.
     prefix : str
         Beginning of their paths; starts and ends with a slash.
-    shares : tuple of Share
+    services : tuple of WeightedService
         The services; one or more.
     idempotent : bool
         Whether running a request twice does no harm.
@@ -54,7 +54,7 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    services: tuple[WeightedService, ...]
     idempotent: bool = False
     timeout: float = 10.0
     target_latency: float = 1.0
@@ -63,13 +63,13 @@
     anonymous: bool = False
 
 
-def importance_of(priority: int) -> int:
+def importance_of_priority(priority: int) -> int:
     """Return the importance that a priority stands for.
 
     Examples
     ========
 
-    >>> importance_of(1), importance_of(-3), importance_of(99)
-    (1, 0, 4)
+    >>> [importance_of_priority(priority) for priority in (1, -3, 99)]
+    [1, 0, 4]
     """
-    return min(max(priority, 0), RANKS - 1)
+    return min(max(priority, 0), RANK_LIMIT - 1)
--- a/packages/rattanfork-core/rattanfork_core/routes/table.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/table.py
@@ -14,9 +14,9 @@
     Examples
     ========
 
-    >>> from rattanfork_core.routes.route import Share
-    >>> short = Route("a", "h", "/x/", (Share("s"),))
-    >>> long = Route("b", "h", "/x/y/", (Share("s"),))
+    >>> from rattanfork_core.routes.route import WeightedService
+    >>> short = Route("a", "h", "/x/", (WeightedService("s"),))
+    >>> long = Route("b", "h", "/x/y/", (WeightedService("s"),))
     >>> table = RouteTable([short, long])
     >>> table.find("h", "/x/y/z").name, table.find("h", "/x/z").name
     ('b', 'a')
--- a/packages/rattanfork-core/rattanfork_core/rules/on_route.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/on_route.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, replace
 
 from rattanfork_core.request import Importance
-from rattanfork_core.routes import Route, importance_of
+from rattanfork_core.routes import Route, importance_of_priority
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.rule import Rule
 
@@ -28,7 +28,9 @@
         caller,
         method,
         data_centre,
-        Importance(importance_of(route.priority if priority is None else priority)),
+        Importance(
+            importance_of_priority(route.priority if priority is None else priority)
+        ),
         load,
     )
 
@@ -70,16 +72,16 @@
     Examples
     ========
 
-    >>> from rattanfork_core.routes import Share
+    >>> from rattanfork_core.routes import WeightedService
     >>> from rattanfork_core.rules import load_rules
     >>> [rule] = load_rules('''
     ... rules: [{name: a, then: {importance: low, deadline: 2, idempotent: true}}]
     ... ''').rules
-    >>> ruled = rule_on(Route("r", "h", "/", (Share("s"),)), rule).route
+    >>> ruled = rule_on(Route("r", "h", "/", (WeightedService("s"),)), rule).route
     >>> ruled.priority, ruled.timeout, ruled.idempotent
     (3, 2.0, False)
     """
-    level = importance_of(route.priority)
+    level = importance_of_priority(route.priority)
     if rule is None:
         return Ruling("-", replace(route, priority=level))
     action = rule.action
--- a/packages/rattanfork-core/rattanfork_core/trace/budget.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/budget.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.request import request_fate
+from rattanfork_core.request import request_tiebreak
 
 #: Lines in a second.  At some 350 bytes and 10 us each, to gather, encode and
 #: write, a node spends 35 kB a second and 0.1% of a core on them at most.
@@ -93,7 +93,7 @@
         if self._tokens <= _NONE_BELOW * self._burst:
             return False
         root = request_id.partition(b".")[0]
-        return request_fate(root.decode("latin-1")) < _SAMPLE
+        return request_tiebreak(root.decode("latin-1")) < _SAMPLE
 
     def _fill(self) -> None:
         now = self._clock.now()
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -308,7 +308,7 @@
             self.drain()
             return
         self._announced = self._clock.now()
-        self._guard.admission.limit.announce(announcement.slots)
+        self._guard.admission.limit.set_slots(announcement.slots)
         if self._upstream_url != announcement.url or self._upstream is None:
             self._replace_upstream(announcement)
         if me.slots != announcement.slots or not me.ready:
@@ -320,7 +320,7 @@
             announcement.url, announcement.connections, self._settings.limits.body
         )
         self._guard.attach(self._upstream)
-        self._guard.admission.limit.restart()
+        self._guard.admission.limit.restart_warmup()
         log_change("upstream_announced", url=announcement.url)
         if old is not None:
             # Requests under way on the old connections still finish.
@@ -351,7 +351,7 @@
             "admission.running": admission.running,
             "admission.waiting": admission.waiting,
             "admission.limit": admission.limit.current,
-            "admission.cut": admission.cut,
+            "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
             "edge.in_flight": self._edge.in_flight,
             "keys.remembered": self._guard.ledger.remembered,
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -6,7 +6,7 @@
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult, Importance
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
 
 from rattanfork_node.guard import Guard, GuardRequest
@@ -61,7 +61,7 @@
     def on_call(self, link: PeerLink, call: Call) -> None:
         """Run a call and reply on the link."""
         ledger = self.ledger_for(link, call.number)
-        if not 0 <= call.importance < RANKS or not 0 <= call.rank < RANKS:
+        if not 0 <= call.importance < RANK_LIMIT or not 0 <= call.rank < RANK_LIMIT:
             raise FrameError("importance or rank out of range")
         task = asyncio.ensure_future(self._run(link, call, ledger))
         link.calls[call.number] = task
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -402,8 +402,8 @@
     def _on_configuration(self, configuration: Configuration) -> None:
         self._observer.on_configuration()
         self._callers.limits = RequestLimits(
-            configuration.head_bytes,
-            configuration.body_bytes,
+            configuration.max_head_bytes,
+            configuration.max_body_bytes,
             configuration.head_timeout,
             configuration.idle_timeout,
         )
--- a/packages/rattanfork-node/rattanfork_node/config/holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/holder.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.routes import Configuration, Route, WeightedTurns
+from rattanfork_core.routes import Configuration, Route, WeightedRoundRobin
 
 
 class ConfigurationHolder:
@@ -26,7 +26,7 @@
         self._decode = decode
         self._current: Configuration | None = None
         self._document = b""
-        self._turns: dict[str, tuple[Route, WeightedTurns]] = {}
+        self._turns: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         #: Called after another configuration has come into force.
         self.on_change: Callable[[Configuration], None] = lambda _: None
 
@@ -66,10 +66,10 @@
 
     def next_service(self, route: Route) -> str | None:
         """Return the service whose turn it is among the shares of a route."""
-        if len(route.shares) == 1:
-            return route.shares[0].service
+        if len(route.services) == 1:
+            return route.services[0].service
         known = self._turns.get(route.name)
-        if known is None or known[0].shares != route.shares:
-            known = (route, WeightedTurns(route.shares))
+        if known is None or known[0].services != route.services:
+            known = (route, WeightedRoundRobin(route.services))
             self._turns[route.name] = known
         return known[1].next()
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
@@ -3,14 +3,14 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.routes import Configuration, Route, Share
+from rattanfork_core.routes import Configuration, Route, WeightedService
 
 from rattanfork_node.config.holder import ConfigurationHolder
 
 
 def decode(document: bytes) -> Configuration:
     version, _, weights = document.decode().partition(":")
-    shares = tuple(Share(name, 1) for name in weights or "a")
+    shares = tuple(WeightedService(name, 1) for name in weights or "a")
     return Configuration(int(version), (Route("r", "h", "/", shares),), {})
 
 
--- a/packages/rattanfork-node/rattanfork_node/guard/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/exchange.py
@@ -5,7 +5,7 @@
 from rattanfork_core.account import Account, RunContext
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult, Outcome, Reason
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 from rattanfork_node.guard.request import GuardRequest
 from rattanfork_node.guard.upstream import UpstreamAnswer
@@ -25,7 +25,7 @@
         request.importance,
         request.operation,
         Account(clock, request.deadline, request.attempts),
-        float(RANKS),
+        float(RANK_LIMIT),
     )
 
 
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/guard.py
@@ -31,7 +31,7 @@
     FenceVerdict,
     Outcome,
     Reason,
-    spread_retry_after,
+    jittered_retry_after,
 )
 
 from rattanfork_node.guard.exchange import (
@@ -149,11 +149,11 @@
 
     def cut(self, operation: str) -> float:
         """Return the threshold to announce: the guard's or a deeper one."""
-        return min(self._admission.cut, self._deep_cuts.cut(operation, ""))
+        return min(self._admission.threshold, self._deep_cuts.cut(operation, ""))
 
     def leave(self) -> None:
         """Take no new work."""
-        self._apply(self._admission.leave())
+        self._apply(self._admission.drain())
 
     def tick(self) -> None:
         """Carry admission on."""
@@ -367,7 +367,7 @@
             reason,
             unused_attempts=request.attempts,
             retry_elsewhere=reason in _ELSEWHERE,
-            retry_after=spread_retry_after(base, request.rank, self._random),
+            retry_after=jittered_retry_after(base, request.rank, self._random),
         )
 
     def _apply(self, decisions: Iterable[Decision]) -> None:
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -14,7 +14,7 @@
     Importance,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
     SendFence,
@@ -95,7 +95,7 @@
         self._hints = hints
         self._epochs = epochs
 
-    async def run(self, job: Job, machine: RequestMachine) -> CallResult:
+    async def run(self, job: Job, machine: RequestStateMachine) -> CallResult:
         """Bring a request to its final answer."""
         sent: dict[int, _Sent] = {}
         commands = machine.start()
@@ -109,7 +109,7 @@
         except TimeoutError:
             return self._give_up(machine.on_deadline(), sent)
         except asyncio.CancelledError:
-            self._give_up(machine.on_caller_left(), sent)
+            self._give_up(machine.on_caller_disconnected(), sent)
             raise
 
     async def fence_key(self, member: Member | None, key: str) -> FenceVerdict:
@@ -127,13 +127,13 @@
     async def _step(
         self,
         job: Job,
-        machine: RequestMachine,
+        machine: RequestStateMachine,
         command: Command,
         sent: dict[int, _Sent],
     ) -> list[Command]:
         if isinstance(command, SendFence):
             verdict = await self._fence(job, command, sent.get(command.attempt))
-            return machine.on_fence(command.attempt, verdict)
+            return machine.on_fence_verdict(command.attempt, verdict)
         picker = self._directory.picker(job.incoming.service)
         state = picker.states.get(command.instance) if picker else None
         began = self._clock.now()
@@ -148,7 +148,7 @@
                 Reason.STALE_INSTANCE,
             )
         except LinkLostError:
-            return machine.on_link_lost(command.attempt)
+            return machine.on_connection_lost(command.attempt)
         finally:
             if state is not None:
                 state.on_done(self._clock.now(), began, failed)
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -15,11 +15,11 @@
     FenceVerdict,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
+    jittered_retry_after,
     request_rank,
-    spread_retry_after,
 )
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.routing import InstancePicker
 from rattanfork_core.settings import RequestSettings
@@ -107,8 +107,8 @@
         hint_key = f"{incoming.service}/{incoming.operation}"
         load = 0.0
         if picker is not None and len(self._hints):
-            _, highest = blocked_instances(picker, self._hints, hint_key, RANKS)
-            load = 1.0 - highest / RANKS
+            _, highest = blocked_instances(picker, self._hints, hint_key, RANK_LIMIT)
+            load = 1.0 - highest / RANK_LIMIT
         treatment = treat(
             incoming, self._rules.rules, self._data_centre, load, self._settings
         )
@@ -141,14 +141,14 @@
         if not self._rules.ready:
             return self._refusal(Reason.NOT_READY, rank)
         if action.refuse_after is not None:
-            after = spread_retry_after(action.refuse_after, rank, self._random)
+            after = jittered_retry_after(action.refuse_after, rank, self._random)
             return CallResult(Outcome.NOT_RUN, Reason.RULE, retry_after=after)
         if action.rate is not None:
             who = incoming.caller if action.rate_per_caller else ""
             limit = self._book.limit(treatment.rule, who, action.rate)
             if not limit.take():
                 base = max(limit.delay, self._settings.retry_after)
-                after = spread_retry_after(base, rank, self._random)
+                after = jittered_retry_after(base, rank, self._random)
                 return CallResult(Outcome.NOT_RUN, Reason.LIMIT, retry_after=after)
         budget = self._book.budget(f"caller:{incoming.caller}")
         if incoming.attempt == 1:
@@ -231,7 +231,7 @@
                 None if avoid else picker.pick(outside)
             )
 
-        machine = RequestMachine(job.account, True, pick, may_retry=budget.spend)
+        machine = RequestStateMachine(job.account, True, pick, may_retry=budget.spend)
         return self._finish(job, await self._dispatcher.run(job, machine))
 
     def _probe(self, picker: InstancePicker, hint_key: str, rank: float) -> str | None:
@@ -303,7 +303,7 @@
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
-        machine = RequestMachine(job.account, False, _nobody, pinned=name)
+        machine = RequestStateMachine(job.account, False, _nobody, pinned=name)
         result = await self._dispatcher.run(job, machine)
         return self._finish(job, result)
 
@@ -335,12 +335,12 @@
     def _finish(self, job: Job, result: CallResult) -> CallResult:
         if result.outcome is not Outcome.ANSWERED and not result.retry_after:
             base = self._settings.retry_after
-            result.retry_after = spread_retry_after(base, job.rank, self._random)
+            result.retry_after = jittered_retry_after(base, job.rank, self._random)
         return result
 
     def _refusal(self, reason: Reason, rank: float) -> CallResult:
         base = self._settings.retry_after
-        after = spread_retry_after(base, rank, self._random)
+        after = jittered_retry_after(base, rank, self._random)
         return CallResult(Outcome.NOT_RUN, reason, retry_after=after)
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/quarantine_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quarantine_task.py
@@ -12,7 +12,7 @@
     from_row,
     to_row,
 )
-from rattanfork_core.request import fingerprint_text
+from rattanfork_core.request import format_fingerprint
 from rattanfork_platform import PlatformDownError, WatchedPlatform
 
 from rattanfork_node.member.records import quarantine_key
@@ -175,7 +175,7 @@
         new = sorted(quarantined - self._logged)
         self._logged = quarantined
         if new:
-            names = [fingerprint_text(f) for f in new[:_MOST_LOGGED]]
+            names = [format_fingerprint(f) for f in new[:_MOST_LOGGED]]
             log_change("requests_quarantined", requests=len(new), fingerprints=names)
 
     def _own_reports(self) -> list[CrashReport]:
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -17,10 +17,10 @@
 )
 from rattanfork_core.quota import (
     QuotaBound,
-    RecentMaximum,
     TokenIssuer,
     TokenLeases,
     TokenRequest,
+    WindowedMaximum,
 )
 
 from rattanfork_node.member.task import MemberTask
@@ -78,7 +78,7 @@
         self._issuers: dict[str, Member] = {}
         self._settled_at = clock.now()
         self._alive = 1
-        self._fleet = RecentMaximum(clock, _FLEET_MEMORY, 1)
+        self._fleet = WindowedMaximum(clock, _FLEET_MEMORY, 1)
         #: When nodes failed that have not been replaced, by instance.
         self._doubtful: dict[str, float] = {}
         self._ticks = 0
@@ -118,7 +118,7 @@
         self._look()
         self.leases.tick()
         if self._ticks % _SWEEP_TICKS == 0:
-            self.issuer.sweep()
+            self.issuer.drop_idle_accounts()
             self._forget_failed()
 
     def _issue(self, request: QuotaRequest) -> QuotaReply | None:
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
@@ -11,7 +11,7 @@
     QuotaReply,
     QuotaRequest,
 )
-from rattanfork_core.quota import QuotaBound, Verdict
+from rattanfork_core.quota import QuotaBound, QuotaDecision
 from rattanfork_node.member.quota_task import QuotaTask
 
 CLERKS = ClientAccount("clerks", rate=20, burst=20)
@@ -53,7 +53,7 @@
             lambda: self.joined,
         )
         self.membership.on_status = self.task.on_member
-        self.verdicts: list[Verdict] = []
+        self.verdicts: list[QuotaDecision] = []
 
     def take(self) -> None:
         decided = self.verdicts.append
@@ -82,7 +82,7 @@
 def test_issuer_itself_sends_nothing():
     node = Node(issuer_number())
     node.take()
-    assert node.verdicts == [Verdict.GRANTED]
+    assert node.verdicts == [QuotaDecision.GRANTED]
     assert node.member_task.sent == []
 
 
@@ -93,7 +93,7 @@
     [(request, address)] = node.member_task.sent
     assert address == node.members[number].address
     node.task.on_reply(QuotaReply(request.number, 1, 0), address)
-    assert node.verdicts == [Verdict.GRANTED]
+    assert node.verdicts == [QuotaDecision.GRANTED]
 
 
 def test_issuer_that_does_not_answer_is_passed_over():
@@ -135,7 +135,7 @@
     node.joined = False
     node.take()
     node.run(1.0)
-    assert node.verdicts == [Verdict.UNREACHABLE]
+    assert node.verdicts == [QuotaDecision.UNREACHABLE]
 
 
 def test_issuer_before_it_that_failed_is_in_doubt_until_it_is_replaced():
@@ -154,7 +154,7 @@
     node.run(10.0)
     for _ in range(20):
         node.take()
-    assert node.verdicts == [Verdict.GRANTED] * 20
+    assert node.verdicts == [QuotaDecision.GRANTED] * 20
 
 
 def test_records_of_processes_that_are_gone_change_neither_order_nor_parts():
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -8,7 +8,7 @@
 
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import Clock
-from rattanfork_core.quota import Quota, Verdict
+from rattanfork_core.quota import Quota, QuotaDecision
 from rattanfork_core.request import Reason
 from rattanfork_core.revision import ConfigurationLease
 
@@ -156,7 +156,7 @@
     def release(self, exchange: Exchange) -> None:
         """Take note that a request that was let in has not run and never will."""
         if exchange.granted_at is not None:
-            self._quota.give_back(exchange.account, exchange.granted_at)
+            self._quota.refund(exchange.account, exchange.granted_at)
             exchange.granted_at = None
 
     def review(self) -> None:
@@ -215,16 +215,16 @@
         exchange.account = account
         asked_at = self._clock.now()
 
-        def decided(verdict: Verdict, retry_after: float) -> None:
+        def decided(verdict: QuotaDecision, retry_after: float) -> None:
             now = self._clock.now()
             exchange.waited += now - asked_at
-            if verdict is Verdict.GRANTED:
+            if verdict is QuotaDecision.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
                     self.release(exchange)
                 else:
                     self.let_in(exchange, route)
-            elif verdict is Verdict.EXHAUSTED:
+            elif verdict is QuotaDecision.EXHAUSTED:
                 self._note_limited(account.name, now)
                 refusal = Refusal(_QUOTA_STATUS, Reason.QUOTA, retry_after)
                 self.refuse(exchange, route, refusal)
--- a/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from rattanfork_core.quarantine import SuspectTracker, incarnation_hash
-from rattanfork_core.request import fingerprint_text
+from rattanfork_core.request import format_fingerprint
 
 from rattanfork_node.http1 import UpstreamPool
 from rattanfork_node.relay.upstream import Upstream
@@ -93,7 +93,9 @@
             "upstream_crashed",
             upstream=upstream.name,
             suspects=len(suspects),
-            fingerprints=[fingerprint_text(f) for f in sorted(suspects)[:_MOST_LOGGED]],
+            fingerprints=[
+                format_fingerprint(f) for f in sorted(suspects)[:_MOST_LOGGED]
+            ],
         )
         if suspects:
             self.on_crash(incarnation_hash(upstream.name, upstream.born), suspects)
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -13,7 +13,7 @@
     Finish,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
 )
@@ -124,12 +124,12 @@
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
         account = HopAccount(relay.clock, deadline, route.most_upstreams - 1)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             account,
             route.idempotent,
             self._pick,
             may_retry=self._may_retry,
-            free_refusals=_FREE_REFUSALS,
+            free_retries=_FREE_REFUSALS,
         )
         wait = max(0.0, deadline - relay.clock.now())
         self._timer = relay.loop.call_later(wait, self._on_deadline)
@@ -141,7 +141,7 @@
 
     def on_caller_left(self) -> None:
         """Stop all work: nobody waits for the answer."""
-        self._carry_out(self._machine.on_caller_left())
+        self._carry_out(self._machine.on_caller_disconnected())
 
     def _pick(self, avoid: frozenset[str]) -> str | None:
         admitted = self._admitted
@@ -304,7 +304,7 @@
             self._note(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
             self._arrived = True
-            self._carry_out(self._machine.on_link_lost(attempt))
+            self._carry_out(self._machine.on_connection_lost(attempt))
             return
         self._relay.early.hear(self._admitted.operation, name, reply.cut)
         if self._state is not None:
@@ -390,7 +390,7 @@
                         )
             except (LinkLostError, TimeoutError, ValueError):
                 self._relay.counters.events["relay.fence-unanswered"] += 1
-            self._carry_out(self._machine.on_fence(attempt, verdict))
+            self._carry_out(self._machine.on_fence_verdict(attempt, verdict))
 
         self._relay.spawn(fence())
 
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -115,10 +115,10 @@
                 slots=1,
                 warmup=0.0,
                 adaptive=False,
-                queue_share=_QUEUE_SHARE,
-                queue_seconds=_QUEUE_SECONDS,
+                queue_ratio=_QUEUE_SHARE,
+                queue_delay=_QUEUE_SECONDS,
                 surge_sample=_SURGE_SAMPLE,
-                longest_wait=_LONGEST_WAIT,
+                max_wait=_LONGEST_WAIT,
             ),
         )
         #: Thresholds that runs of the upstream have met at the services they call.
@@ -159,7 +159,7 @@
     @property
     def own_cut(self) -> float:
         """Threshold of this gate alone."""
-        return self._admission.cut
+        return self._admission.threshold
 
     @property
     def busy(self) -> int:
@@ -189,7 +189,7 @@
         elif not upstream.born:
             upstream = upstream._replace(born=known.born)
         self._upstream = upstream
-        self._admission.limit.announce(max(1, int(upstream.slots * _USED_SLOTS)))
+        self._admission.limit.set_slots(max(1, int(upstream.slots * _USED_SLOTS)))
         self._accepting = True
         self.misdirected = False
 
@@ -211,7 +211,7 @@
 
     def cut(self, operation: str) -> float:
         """Return the threshold to announce: the gate's or a deeper one."""
-        return min(self._admission.cut, self._deeper.cut(operation, _HERE))
+        return min(self._admission.threshold, self._deeper.cut(operation, _HERE))
 
     def submit(self, job: Job) -> None:
         """Take a request; its ``done`` is called once."""
@@ -299,7 +299,7 @@
             self._pool.retire()
         self._pool = self._make_pool(upstream, connections)
         self._crash_detector.watch(self._pool, upstream)
-        self._admission.restart()
+        self._admission.reset_estimates()
         self.health = UpstreamHealth(self._clock)
 
     def _make_pool(self, upstream: Upstream, connections: int) -> UpstreamPool:
--- a/packages/rattanfork-node/rattanfork_node/relay/journal.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/journal.py
@@ -6,7 +6,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.objectives import RouteObjectives
-from rattanfork_core.request import CallResult, Outcome, Reason, fingerprint_text
+from rattanfork_core.request import CallResult, Outcome, Reason, format_fingerprint
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.trace import loss_cause
 
@@ -83,7 +83,7 @@
         request_id = exchange.request_id
         if self._log.wants(request_id, plain=False):
             fields = {
-                "fingerprint": fingerprint_text(exchange.fingerprint),
+                "fingerprint": format_fingerprint(exchange.fingerprint),
                 "outcome": Outcome.NOT_RUN.label,
                 "reason": reason.label,
                 "status": status,
@@ -124,7 +124,7 @@
         fields = {
             "route": route.name,
             "service": admitted.service,
-            "fingerprint": fingerprint_text(exchange.fingerprint),
+            "fingerprint": format_fingerprint(exchange.fingerprint),
             "outcome": outcome,
             "reason": result.reason.label,
             "status": status,
@@ -167,7 +167,7 @@
         fields: dict[str, Any] = {
             "operation": job.operation,
             "origin": job.origin,
-            "fingerprint": fingerprint_text(job.fingerprint),
+            "fingerprint": format_fingerprint(job.fingerprint),
             "outcome": outcome,
             "reason": result.reason.label,
             "status": result.status,
@@ -179,7 +179,7 @@
             "running": admission.running,
             "waiting": admission.waiting,
             "slots": admission.limit.current,
-            "cut": round(admission.cut, 3),
+            "cut": round(admission.threshold, 3),
             "upstream": upstream,
             "failed_calls": job.failed_calls,
         }
--- a/packages/rattanfork-node/rattanfork_node/relay/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peers.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
 
 from rattanfork_node.config.holder import ConfigurationHolder
@@ -62,7 +62,7 @@
     def on_run(self, link: PeerLink, run: Run) -> None:
         """Give a run to the gate."""
         ledger = self.ledger_for(link, run.number)
-        if not 0 <= run.rank < RANKS:
+        if not 0 <= run.rank < RANK_LIMIT:
             raise FrameError("rank out of range")
         if not run.account.isprintable():
             raise FrameError("not a name of an account")
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -21,8 +21,8 @@
     CallResult,
     Outcome,
     Reason,
+    jittered_retry_after,
     rank_of_call,
-    spread_retry_after,
 )
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.routes import Route
@@ -393,7 +393,7 @@
             parent.succeeded_calls += 1
 
     def _return_after(self, rank: float) -> float:
-        return spread_retry_after(self._settings.retry_after, rank, self._random)
+        return jittered_retry_after(self._settings.retry_after, rank, self._random)
 
 
 def _status_without_answer(outcome: Outcome, reason: Reason) -> int:
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -11,10 +11,10 @@
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.objectives import RouteObjectives
 from rattanfork_core.quarantine import Quarantine
-from rattanfork_core.quota import Quota, Verdict
+from rattanfork_core.quota import Quota, QuotaDecision
 from rattanfork_core.request import CallResult
 from rattanfork_core.revision import ConfigurationLease, RevisionState, RulesRecord
-from rattanfork_core.routes import Configuration, Route, Share
+from rattanfork_core.routes import Configuration, Route, WeightedService
 from rattanfork_core.trace import LineBudget
 
 from rattanfork_node.config.holder import ConfigurationHolder
@@ -217,7 +217,7 @@
     """Says what the test wants, at once or when the test says so."""
 
     def __init__(self) -> None:
-        self.verdict: Verdict | None = Verdict.GRANTED
+        self.verdict: QuotaDecision | None = QuotaDecision.GRANTED
         self.retry_after = 0.0
         self.pending: list = []
         self.taken: list[str] = []
@@ -230,7 +230,7 @@
         else:
             decided(self.verdict, self.retry_after)
 
-    def give_back(self, account, granted_at) -> None:
+    def refund(self, account, granted_at) -> None:
         self.returned.append(account.name)
 
     def tick(self) -> None:
@@ -260,8 +260,8 @@
         self.log = FakeLog(self.clock)
         self.objectives = RouteObjectives(self.clock)
         fields = {"timeout": 1.0, "idempotent": True, "priority": 2, **route}
-        self.route = Route("r", "h", "/a/", (Share("t"),), **fields)
-        self.inner = Route("i", "h", "/i/", (Share("t"),), **fields)
+        self.route = Route("r", "h", "/a/", (WeightedService("t"),), **fields)
+        self.inner = Route("i", "h", "/i/", (WeightedService("t"),), **fields)
         me = Member("me", "b1", "s", "dc1", "127.0.0.1", 1, 1, 8, ready=True)
         membership = Membership(self.clock, Random(1), me)
         self.pool = FakePeerPool()
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from rattanfork_core.client_accounts import ClientAccount
-from rattanfork_core.quota import Verdict
+from rattanfork_core.quota import QuotaDecision
 from rattanfork_core.request import Outcome
 
 from rattanfork_node.relay.tests.fakes import RelayWorld, on_loop
@@ -155,7 +155,7 @@
 @on_loop
 async def test_exhausted_quota_is_answered_429_with_when_to_come_back():
     each = world()
-    each.quota.verdict, each.quota.retry_after = Verdict.EXHAUSTED, 0.75
+    each.quota.verdict, each.quota.retry_after = QuotaDecision.EXHAUSTED, 0.75
     status, block, _ = each.ask(keys=[b"key-of-clerks"]).output
     assert status == 429
     assert b"Retry-After: 0.75\r\n" in block
@@ -165,7 +165,7 @@
 @on_loop
 async def test_unreachable_quota_is_answered_as_not_run():
     each = world()
-    each.quota.verdict, each.quota.retry_after = Verdict.UNREACHABLE, 0.5
+    each.quota.verdict, each.quota.retry_after = QuotaDecision.UNREACHABLE, 0.5
     assert status_of(each.ask(keys=[b"key-of-clerks"])) == 503
 
 
@@ -177,7 +177,7 @@
     each.ask(keys=[b"key-of-clerks"], wait=0.8)
     each.clock.advance(0.3)
     [decided] = each.quota.pending
-    decided(Verdict.GRANTED, 0.0)
+    decided(QuotaDecision.GRANTED, 0.0)
     assert run_of(each).time_left <= 500
 
 
@@ -206,7 +206,7 @@
     exchange = each.ask(keys=[b"key-of-clerks"])
     exchange.answered = True
     [decided] = each.quota.pending
-    decided(Verdict.GRANTED, 0.0)
+    decided(QuotaDecision.GRANTED, 0.0)
     assert each.runs == []
     assert each.quota.returned == ["clerks"]
 
@@ -263,7 +263,7 @@
 async def test_no_line_holds_a_key():
     each = world()
     each.ask(request_id="r1", keys=[b"key-of-clerks"])
-    each.quota.verdict = Verdict.EXHAUSTED
+    each.quota.verdict = QuotaDecision.EXHAUSTED
     each.ask(request_id="r2", keys=[b"old-key"])
     each.ask(request_id="r3", keys=[b"a-wrong-key"])
     each.clock.advance(0.1)
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/attempt.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/attempt.py
@@ -6,7 +6,7 @@
     CallResult,
     FenceVerdict,
     Finish,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendFence,
 )
@@ -35,7 +35,7 @@
         self.frozen_until = 0.0
         self.connection = {}
         self.connection_counter = 0
-        self.machine: RequestMachine | None = None
+        self.machine: RequestStateMachine | None = None
         self.finishes = 0
 
     def begin(self) -> None:
@@ -102,7 +102,7 @@
         self.connection_counter += 1
         connection = f"t{self.number}c{self.connection_counter}"
         self.connection[command.attempt] = connection
-        lost = lambda: self._feed(self.machine.on_link_lost, command.attempt)  # noqa: E731
+        lost = lambda: self._feed(self.machine.on_connection_lost, command.attempt)  # noqa: E731
 
         def arrive() -> None:
             guard = world.guard(command.instance)
@@ -128,7 +128,7 @@
                         name, world.parts.connection()
                     )
                     [verdict] = ledger.fence([1])
-            self._feed(self.machine.on_fence, command.attempt, verdict)
+            self._feed(self.machine.on_fence_verdict, command.attempt, verdict)
 
         world.at(0.01, ask)
 
@@ -180,10 +180,10 @@
         elif fault == "CALLER_LEAVES":
             self.caller_gone = True
             if self.machine is not None:
-                world.at(0, lambda: self._feed(self.machine.on_caller_left))
+                world.at(0, lambda: self._feed(self.machine.on_caller_disconnected))
         elif fault == "DRAIN":
             target.leaving_at = world.clock.now()
-            target.admission.leave()
+            target.admission.drain()
         elif fault == "CLOCK_JUMP":
             world.clock.advance(LONG)
         return delays
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
@@ -6,7 +6,7 @@
 from rattanfork_core.admission import AdmissionController
 from rattanfork_core.atmostonce import ConnectionLedger, RunLedger
 from rattanfork_core.atmostonce.record import RunState
-from rattanfork_core.request import FenceVerdict, RequestMachine
+from rattanfork_core.request import FenceVerdict, RequestStateMachine
 
 from rattanfork_testkit.matrix.world import Parts
 
@@ -60,15 +60,15 @@
         return True
 
 
-class _BelievesLostIsNotRun(RequestMachine):
+class _BelievesLostIsNotRun(RequestStateMachine):
     """Takes a lost connection for a proof."""
 
-    def on_link_lost(self, number):
+    def on_connection_lost(self, number):
         attempt = self._attempts[number - 1]
         if self._finished or attempt.state.name != "SENT":
             return []
         attempt.state = type(attempt.state).FENCING
-        return self.on_fence(number, FenceVerdict.NOT_RUN)
+        return self.on_fence_verdict(number, FenceVerdict.NOT_RUN)
 
 
 class _EndlessAttempts(Account):
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
@@ -185,12 +185,12 @@
         attempt = self.attempt
         number = self.command.attempt
         attempt.world.at(
-            delay, lambda: attempt._feed(attempt.machine.on_link_lost, number)
+            delay, lambda: attempt._feed(attempt.machine.on_connection_lost, number)
         )
 
     def _reply(self, result: CallResult) -> None:
         attempt, number = self.attempt, self.command.attempt
-        lost = lambda: attempt._feed(attempt.machine.on_link_lost, number)  # noqa: E731
+        lost = lambda: attempt._feed(attempt.machine.on_connection_lost, number)  # noqa: E731
         arrive = lambda: self._reply_arrives(result)  # noqa: E731
         delays = attempt.strike("REPLY", self.guard)
         if not self.guard.alive:
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
@@ -9,7 +9,7 @@
 from rattanfork_core.admission import AdmissionController, AdmissionSettings
 from rattanfork_core.atmostonce import ConnectionLedger, RunLedger, Ticket
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.request import CallResult, RequestMachine
+from rattanfork_core.request import CallResult, RequestStateMachine
 
 if TYPE_CHECKING:
     from rattanfork_testkit.matrix.attempt import Try
@@ -40,7 +40,7 @@
 
     ledger: type[RunLedger] = RunLedger
     connection: type[ConnectionLedger] = ConnectionLedger
-    machine: type[RequestMachine] = RequestMachine
+    machine: type[RequestStateMachine] = RequestStateMachine
     account: type[Account] = Account
     admission: type[AdmissionController] = AdmissionController
     matches_connection: bool = True
