--- a/packages/rattanfork-core/rattanfork_core/membership/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: announcements, probes, suspicion and leaving."""
+"""Gossip membership (SWIM): the nodes that a request can be forwarded to."""
 
 from rattanfork_core.membership.anti_entropy import BucketDigest
 from rattanfork_core.membership.cached_versions import UNKNOWN_AGE_MS, CachedVersions
--- a/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
@@ -1,13 +1,20 @@
-"""What a node holds of the store, as its datagrams tell."""
+"""Versions of stored data that a node has cached, as sent on its datagrams."""
 
 from typing import NamedTuple
 
-#: Milliseconds that stand for "never": longer than any node lives.
+#: Age in milliseconds that stands for "unknown"; longer than any node runs.
 UNKNOWN_AGE_MS = 1 << 40
 
 
 class CachedVersions(NamedTuple):
-    """What a node holds of the store, and how lately it was seen to be the newest.
+    """Versions that a node has cached, and when the store last confirmed them.
+
+    Explanation
+    ===========
+
+    Nodes send this on every probe and reply.  A node that learns of a newer
+    version fetches it from the sender, and a node that learns of a recent
+    confirmation need not ask the store itself.
 
     Parameters
     ==========
@@ -15,10 +22,11 @@
     configuration : int
         Version of the configuration in force; 0 while there is none.
     rules : int
-        Place of the rules in force among all revisions.
+        :attr:`RulesRecord.order` of the rules in force; 0 while there are none.
     confirmation_age_ms : int
-        Milliseconds since the store held nothing newer, as far as the node knows;
-        :data:`UNKNOWN_AGE_MS` if it does not know, or knows of something newer.
+        Milliseconds since the store is known to have held nothing newer;
+        :data:`UNKNOWN_AGE_MS` if that is not known, or if the node knows of
+        something newer.
 
     Examples
     ========
@@ -28,7 +36,7 @@
     >>> CachedVersions.from_fields((7, 2, -1))
     Traceback (most recent call last):
     ...
-    ValueError: malformed versions
+    ValueError: cached versions: three integers from 0 on expected
     """
 
     configuration: int = 0
@@ -37,16 +45,16 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> "CachedVersions":
-        """Return what the fields of a datagram say.
+        """Return the versions in a decoded datagram.
 
         Raises
         ======
 
         ValueError
-            If they are not three whole numbers from 0 on.
+            If the fields are not three integers from 0 on.
         """
         if not isinstance(fields, tuple) or len(fields) != len(cls._fields):
-            raise ValueError("malformed versions")
+            raise ValueError("cached versions: three integers from 0 on expected")
         if not all(type(field) is int and field >= 0 for field in fields):
-            raise ValueError("malformed versions")
+            raise ValueError("cached versions: three integers from 0 on expected")
         return cls(*fields)
--- a/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
@@ -1,22 +1,25 @@
-"""Datagrams by which a node asks another for something, outside the protocol."""
+"""Requests to a single node and their replies, sent as gossip datagrams."""
 
 from typing import NamedTuple
 
-#: Largest figure in a datagram.
-_MOST = 1 << 62
-_LONGEST_NAME = 200
+#: Integers of a datagram are below this.
+_INTEGER_LIMIT = 1 << 62
+_MAX_NAME_CHARACTERS = 200
 
 
 class LeaseRequest(NamedTuple):
-    """Asks how lately the receiver's configuration is known to have been the newest."""
+    """Asks for the version of the receiver's configuration and the age of its proof.
+
+    See :class:`~rattanfork_core.revision.ConfigurationLease`.
+    """
 
     number: int
 
 
 class LeaseReply(NamedTuple):
-    """The version held, and the milliseconds since it is known to have been the newest.
+    """Version of the configuration in force, and the age of its proof.
 
-    ``age`` is :data:`UNKNOWN_AGE_MS` if that was never known.
+    ``age`` is in milliseconds; :data:`UNKNOWN_AGE_MS` if there never was a proof.
     """
 
     number: int
@@ -25,7 +28,10 @@
 
 
 class QuotaRequest(NamedTuple):
-    """Asks for tokens of a client account; ``sender`` is the name of a member."""
+    """Asks for ``count`` tokens of a client account's quota.
+
+    ``sender`` is the name of the member that asks.
+    """
 
     number: int
     sender: str
@@ -34,45 +40,56 @@
 
 
 class QuotaReply(NamedTuple):
-    """The tokens that were issued, and the milliseconds until there are more."""
+    """Number of tokens issued, and milliseconds to wait before asking again."""
 
     number: int
     tokens: int
     wait: int
 
 
-#: Requests and their replies; each goes back to where its request came from.
+#: Requests and replies; a reply is sent to the source address of its request.
 DirectMessage = LeaseRequest | LeaseReply | QuotaRequest | QuotaReply
-DIRECT_KINDS: tuple[type, ...] = (LeaseRequest, LeaseReply, QuotaRequest, QuotaReply)
+DIRECT_MESSAGE_TYPES: tuple[type, ...] = (
+    LeaseRequest,
+    LeaseReply,
+    QuotaRequest,
+    QuotaReply,
+)
 
 
-def direct_message(kind: type, fields: tuple) -> DirectMessage:
-    """Return the message of a decoded datagram.
+def direct_message_from_fields(message_type: type, fields: tuple) -> DirectMessage:
+    """Return the message of a type, made of the decoded fields.
 
     Raises
     ======
 
     ValueError
-        If the fields are not those of the kind.
+        If the number, a type or a range of the fields is wrong.
 
     Examples
     ========
 
-    >>> direct_message(LeaseReply, (1, 12, 350))
+    >>> direct_message_from_fields(LeaseReply, (1, 12, 350))
     LeaseReply(number=1, version=12, age=350)
-    >>> direct_message(LeaseReply, (1, 12, -1))
+    >>> direct_message_from_fields(LeaseReply, (1, 12, -1))
     Traceback (most recent call last):
     ...
-    ValueError: LeaseReply.age: number from 0 on expected
+    ValueError: LeaseReply.age: integer from 0 on expected
     """
-    if len(fields) != len(kind._fields):
-        raise ValueError(f"{kind.__name__}: wrong number of fields")
-    for name, value in zip(kind._fields, fields, strict=True):
-        expected = kind.__annotations__[name]
+    if len(fields) != len(message_type._fields):
+        raise ValueError(f"{message_type.__name__}: wrong number of fields")
+    for name, value in zip(message_type._fields, fields, strict=True):
+        expected = message_type.__annotations__[name]
         if type(value) is not expected:
-            raise ValueError(f"{kind.__name__}.{name}: {expected.__name__} expected")
-        if expected is int and not 0 <= value < _MOST:
-            raise ValueError(f"{kind.__name__}.{name}: number from 0 on expected")
-        if expected is str and len(value) > _LONGEST_NAME:
-            raise ValueError(f"{kind.__name__}.{name}: too long")
-    return kind(*fields)
+            raise ValueError(
+                f"{message_type.__name__}.{name}: {expected.__name__} expected"
+            )
+        if expected is int and not 0 <= value < _INTEGER_LIMIT:
+            raise ValueError(
+                f"{message_type.__name__}.{name}: integer from 0 on expected"
+            )
+        if expected is str and len(value) > _MAX_NAME_CHARACTERS:
+            raise ValueError(
+                f"{message_type.__name__}.{name}: at most 200 characters expected"
+            )
+    return message_type(*fields)
--- a/packages/rattanfork-core/rattanfork_core/membership/membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol, in the manner of SWIM."""
+"""SWIM membership protocol: failure detection and dissemination."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -20,36 +20,40 @@
 from rattanfork_core.membership.settings import MembershipSettings
 from rattanfork_core.membership.update_queue import UpdateQueue
 
-#: Share of the probes that also go to one of the dead.
-_DEAD_SHARE = 0.1
-#: Coming and leaving are pushed to this many times as many as other news: who
-#: hears late of the one keeps sending, and of the other can't be found.
-_FAR_PUSHES = 4
+#: Fraction of protocol periods in which a dead member is probed as well.
+_DEAD_PROBE_FRACTION = 0.1
+#: Factor of the push fan-out for joining and leaving: a node that learns late of a
+#: leaving member still sends requests to it, and a joining node that is killed before
+#: others know its address cannot be found by them when it restarts.
+_JOIN_LEAVE_FANOUT_FACTOR = 4
 
 
 @dataclass(slots=True)
 class _Probe:
     target: str
     number: int
-    sent: float
-    helped: bool = False
+    sent_at: float
+    is_indirect: bool = False
 
 
 class Membership:
-    """One node's view of the members, and its part in the protocol.
+    """Membership view of one node, and its part in the protocol.
 
     Explanation
     ===========
 
-    Each period one member is probed; if it does not answer, a few others are
-    asked to probe it; if they hear nothing either it is suspected, and dead
-    after a while unless it refutes by raising its incarnation.  All news
-    rides on probes and their answers, a bounded number each, so the cost of
-    a node is constant.
+    In each protocol period one member is probed.  If it does not reply in time, a
+    few others are asked to probe it.  If none of them gets an ack either, it is
+    suspected, and declared dead after a time-out unless it refutes the suspicion
+    by raising its incarnation.  Updates are piggybacked on probes and acks, a
+    bounded number on each, so the cost of a node does not depend on the size of
+    the fleet.
 
-    A node whose own probes fail often takes itself to be slow (Lifeguard's
-    local health) and gives others more time, so that one frozen and woken
-    process does not declare the rest dead.
+    A node whose own probes fail often assumes that it is slow itself (the local
+    health of Lifeguard) and uses longer time-outs, so that a process that was
+    suspended for a while does not declare all others dead.
+
+    This class does no I/O: methods return the datagrams to send.
 
     Parameters
     ==========
@@ -57,11 +61,11 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Seeded source of choices.
+        Source of random choices.
     me : Member
-        This node.
+        This node's own record.
     settings : MembershipSettings
-        Timing.
+        Time-outs and fan-outs.
 
     Examples
     ========
@@ -97,39 +101,39 @@
         self._members: dict[str, Member] = {}
         self._changed_at: dict[str, float] = {}
         self._digest = BucketDigest([])
-        self._rumours = UpdateQueue()
-        self._living = RandomPool()
+        self._updates = UpdateQueue()
+        self._live = RandomPool()
         self._dead = RandomPool()
-        self._order: list[str] = []
-        self._next_check = clock.now()
+        self._probe_order: list[str] = []
+        self._next_expiry = clock.now()
         self._probe: _Probe | None = None
         self._next_probe = clock.now()
-        self._number = random.getrandbits(30)
-        self._relays: dict[int, tuple[int, tuple[str, int]]] = {}
-        self._health = 0
+        self._last_number = random.getrandbits(30)
+        self._relayed: dict[int, tuple[int, tuple[str, int]]] = {}
+        self._local_health = 0
         self._version = 0
-        self._has_news = False
+        self._push_pending = False
         self._next_push = clock.now()
-        #: What this node holds of the store.
+        #: Returns the versions that this node has cached, for its datagrams.
         self.cached_versions: Callable[[], CachedVersions] = CachedVersions
-        #: Told of each member that comes or changes its status, with the status
-        #: before; None for one that was not known.
+        #: Called for each member that is new or changes its status, with its
+        #: previous status; None for a new one.
         self.on_status: Callable[[Member, MemberStatus | None], None] = _ignore
-        self._put(me)
+        self._set_record(me)
 
     @property
     def me(self) -> Member:
-        """The node's own record."""
+        """Own record of this node."""
         return self._me
 
     @property
     def version(self) -> int:
-        """Grows whenever the view changes."""
+        """Increases whenever the view changes."""
         return self._version
 
     @property
     def members(self) -> dict[str, Member]:
-        """All records by name, the dead included."""
+        """All records by name, those of dead members included."""
         return self._members
 
     @property
@@ -139,96 +143,100 @@
 
     @property
     def pending_updates(self) -> int:
-        """Rumours on their way."""
-        return len(self._rumours)
+        """Number of updates that are still to be sent."""
+        return len(self._updates)
 
     def present(self) -> list[Member]:
         """Return the members that are not dead."""
         return [m for m in self._members.values() if m.status != MemberStatus.DEAD]
 
     def update_me(self, **changes: object) -> None:
-        """Change this node's own record and tell the others."""
+        """Change fields of this node's own record and disseminate it."""
         incarnation = self._me.incarnation + 1
         self._me = self._me.replace(incarnation=incarnation, **changes)
-        self._accept(self._me)
+        self._apply(self._me)
 
     def leave(self) -> list[Send]:
-        """Announce that this node takes no new work.
+        """Mark this node as leaving: it accepts no new requests.
 
-        The news is pushed at once to more than other news is.
+        The update is pushed at once, and with a larger fan-out than others.
         """
         self.update_me(status=MemberStatus.LEAVING)
-        return self._push(_FAR_PUSHES * self._settings.push_fanout)
+        return self._push(_JOIN_LEAVE_FANOUT_FACTOR * self._settings.push_fanout)
 
     def announce_self(self) -> list[Send]:
-        """Tell the others at once that this node is here.
+        """Push this node's record at once, with a larger fan-out than other updates.
 
-        The news is pushed to more than other news is.  A node that waits for
-        its next tick may be killed before; with the store away nobody could
-        find its successor then, as no other node had ever heard of it.
+        A node that waited for its next tick could be killed before any other node
+        knows its address.  While the store is unavailable, no node could then find
+        the process that is restarted at that address.
         """
-        return self._push(_FAR_PUSHES * self._settings.push_fanout)
+        return self._push(_JOIN_LEAVE_FANOUT_FACTOR * self._settings.push_fanout)
 
     def ping_members(self, names: Iterable[str]) -> list[Send]:
-        """Tell some members at once what this node holds of the store."""
-        known = (self._members.get(name) for name in names if name != self._me.name)
+        """Ping members at once, to send them the versions that this node has cached."""
+        members = (self._members.get(name) for name in names if name != self._me.name)
         return [
             self._ping(member)
-            for member in known
+            for member in members
             if member is not None and member.status != MemberStatus.DEAD
         ]
 
     def mark_dead(self, name: str) -> None:
-        """Take a member for dead: another process answers at its address."""
+        """Declare a member dead, since another process answers at its address."""
         if name != self._me.name:
             self._declare(name, MemberStatus.DEAD)
 
     def schedule_push(self) -> None:
-        """Push soon: there is news, such as another revision of the rules."""
-        self._has_news = True
+        """Push soon, such as after a new revision of the rules was fetched."""
+        self._push_pending = True
 
     def merge(self, members: Iterable[Member]) -> None:
-        """Take in records, from rumours or from another's view."""
+        """Merge records of an update or of another node's view."""
         for member in members:
             if member.name == self._me.name:
                 self._refute(member)
                 continue
             known = self._members.get(member.name)
             if known is None or member.overrides(known):
-                self._accept(member)
+                self._apply(member)
 
     def records_in_buckets(self, buckets: Iterable[int]) -> list[Member]:
-        """Return the records of some buckets of the digest."""
+        """Return the records in the given buckets of the digest."""
         wanted = set(buckets)
         return [m for m in self._members.values() if bucket_of(m.name) in wanted]
 
     def tick(self) -> list[Send]:
-        """Carry the protocol on; call several times a period."""
+        """Start what is due and return the datagrams; call several times a period."""
         now = self._clock.now()
         sends: list[Send] = []
         probe = self._probe
-        timeout = self._settings.ack_timeout * (1 + self._health)
-        if probe is not None and not probe.helped and now - probe.sent >= timeout:
-            probe.helped = True
-            sends += self._ask_helpers(probe)
+        timeout = self._settings.ack_timeout * (1 + self._local_health)
+        if (
+            probe is not None
+            and not probe.is_indirect
+            and now - probe.sent_at >= timeout
+        ):
+            probe.is_indirect = True
+            sends += self._request_indirect_probes(probe)
         if now >= self._next_probe:
             if probe is not None:
-                self._probe_failed(probe)
-            period = self._settings.period * (1 + 0.5 * self._health)
+                self._on_probe_failed(probe)
+            period = self._settings.period * (1 + 0.5 * self._local_health)
             self._next_probe = now + period * self._random.uniform(0.9, 1.1)
-            sends += self._begin_probe(now)
-        if self._has_news and now >= self._next_push:
-            self._has_news = False
+            sends += self._start_probe(now)
+        if self._push_pending and now >= self._next_push:
+            self._push_pending = False
             self._next_push = now + self._settings.push_interval
             sends += self._push(self._settings.push_fanout)
-        if now >= self._next_check:
-            # Not each tick: while a region is cut off, thousands are suspect.
-            self._next_check = now + self._settings.period
-            self._end_suspicions(now)
+        if now >= self._next_expiry:
+            # Not on each tick: while a region is cut off, thousands are suspect.
+            self._next_expiry = now + self._settings.period
+            self._expire(now)
         return sends
 
     def on_message(self, message: GossipMessage, source: tuple[str, int]) -> list[Send]:
-        """Take in a datagram."""
+        """Process a datagram and return the replies."""
         self.merge([message.sender])
         self.merge(message.updates)
         if isinstance(message, Ping):
@@ -238,15 +246,19 @@
         return self._on_ping_request(message)
 
     def _on_ping(self, ping: Ping) -> list[Send]:
-        # A stranger to the target's boot is told who is here instead, so
-        # that a replaced process is not taken for the old one.
+        # The ack names this process, also if the ping was meant for an earlier one
+        # at the same address, so that the sender notices the replacement.
         sender = self._members[ping.sender.name]
         if sender.status in (MemberStatus.DEAD, MemberStatus.SUSPECT):
-            # The sender does not know that it is thought dead: tell it, so
-            # that it refutes.
-            self._rumours.add(sender, 2)
+            # The sender may not know that it is suspected or declared dead.  The
+            # ack carries that update, so that the sender refutes it.
+            self._updates.add(sender, 2)
         ack = Ack(
-            ping.number, self._me, self._me.name, self.cached_versions(), self._news()
+            ping.number,
+            self._me,
+            self._me.name,
+            self.cached_versions(),
+            self._next_updates(),
         )
         return [Send(ping.sender.address, ack)]
 
@@ -255,72 +267,74 @@
         if probe is not None and ack.number == probe.number:
             if ack.target == probe.target:
                 self._probe = None
-                self._health = max(0, self._health - 1)
+                self._local_health = max(0, self._local_health - 1)
             else:
-                # Another process answers at that address: the one probed was
-                # replaced and cannot come back.
+                # Another process answers at that address, so the one that was
+                # probed has ended.
                 self._declare(probe.target, MemberStatus.DEAD)
                 self._probe = None
-        relay = self._relays.pop(ack.number, None)
-        if relay is None:
+        relayed = self._relayed.pop(ack.number, None)
+        if relayed is None:
             return []
-        number, address = relay
-        news = self._news()
-        return [Send(address, Ack(number, self._me, ack.target, ack.versions, news))]
+        number, address = relayed
+        updates = self._next_updates()
+        return [Send(address, Ack(number, self._me, ack.target, ack.versions, updates))]
 
     def _on_ping_request(self, request: PingRequest) -> list[Send]:
         target = self._members.get(request.target)
         if target is None:
             return []
         ping = self._ping(target)
-        if len(self._relays) > 100:
-            self._relays.clear()
-        self._relays[ping.message.number] = (request.number, request.sender.address)
+        if len(self._relayed) > 100:
+            self._relayed.clear()
+        self._relayed[ping.message.number] = (request.number, request.sender.address)
         return [ping]
 
-    def _begin_probe(self, now: float) -> list[Send]:
+    def _start_probe(self, now: float) -> list[Send]:
         sends: list[Send] = []
-        target = self._next_target()
+        target = self._next_probe_target()
         if target is not None:
             send = self._ping(target)
             self._probe = _Probe(target.name, send.message.number, now)
             sends.append(send)
-        if self._dead and (target is None or self._random.random() < _DEAD_SHARE):
-            # After a split has healed, both sides hold the other for dead
-            # and would never speak again.  A node that is left alone has
-            # nobody else to probe: one restarted at its old address, with
-            # the store away, could be found by nobody.
+        if self._dead and (
+            target is None or self._random.random() < _DEAD_PROBE_FRACTION
+        ):
+            # After a partition has healed, the members of each side are dead to
+            # the other and would never be probed again.  A node whose other
+            # members are all dead probes one in each period: while the store is
+            # unavailable, nothing else finds a node restarted at its old address.
             [name] = self._dead.sample(self._random, 1)
             sends.append(self._ping(self._members[name]))
         return sends
 
-    def _next_target(self) -> Member | None:
-        for _ in range(len(self._order) + 2):
-            if not self._order:
+    def _next_probe_target(self) -> Member | None:
+        for _ in range(len(self._probe_order) + 2):
+            if not self._probe_order:
                 me = self._me.name
-                self._order = [m.name for m in self.present() if m.name != me]
-                self._random.shuffle(self._order)
-                if not self._order:
+                self._probe_order = [m.name for m in self.present() if m.name != me]
+                self._random.shuffle(self._probe_order)
+                if not self._probe_order:
                     return None
-            member = self._members.get(self._order.pop())
+            member = self._members.get(self._probe_order.pop())
             if member is not None and member.status != MemberStatus.DEAD:
                 return member
         return None
 
-    def _ask_helpers(self, probe: _Probe) -> list[Send]:
-        names = (self._me.name, probe.target)
+    def _request_indirect_probes(self, probe: _Probe) -> list[Send]:
+        excluded = (self._me.name, probe.target)
         count = self._settings.indirect_probes
-        drawn = self._living.sample(self._random, count + len(names))
-        helpers = [self._members[n] for n in drawn if n not in names][:count]
-        news = self._news()
+        drawn = self._live.sample(self._random, count + len(excluded))
+        relays = [self._members[n] for n in drawn if n not in excluded][:count]
+        updates = self._next_updates()
         request = PingRequest(
-            probe.number, self._me, probe.target, self.cached_versions(), news
+            probe.number, self._me, probe.target, self.cached_versions(), updates
         )
-        return [Send(helper.address, request) for helper in helpers]
+        return [Send(relay.address, request) for relay in relays]
 
-    def _probe_failed(self, probe: _Probe) -> None:
+    def _on_probe_failed(self, probe: _Probe) -> None:
         self._probe = None
-        self._health = min(8, self._health + 1)
+        self._local_health = min(8, self._local_health + 1)
         member = self._members.get(probe.target)
         if member is None:
             return
@@ -329,12 +343,15 @@
         elif member.status == MemberStatus.LEAVING:
             self._declare(probe.target, MemberStatus.DEAD)
 
-    def _end_suspicions(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         periods = self._settings.suspicion_multiplier * log2(len(self._members) + 2)
-        limit = periods * self._settings.period
+        suspicion_timeout = periods * self._settings.period
         for name, since in list(self._changed_at.items()):
             member = self._members[name]
-            if member.status == MemberStatus.SUSPECT and now - since > limit:
+            if (
+                member.status == MemberStatus.SUSPECT
+                and now - since > suspicion_timeout
+            ):
                 self._declare(name, MemberStatus.DEAD)
             elif (
                 member.status == MemberStatus.DEAD
@@ -345,47 +362,47 @@
     def _declare(self, name: str, status: MemberStatus) -> None:
         member = self._members.get(name)
         if member is not None and status > member.status:
-            self._accept(member.replace(status=status))
+            self._apply(member.replace(status=status))
 
-    def _refute(self, rumour: Member) -> None:
-        mine = self._me
-        if rumour.incarnation < mine.incarnation or rumour == mine:
+    def _refute(self, update: Member) -> None:
+        own = self._me
+        if update.incarnation < own.incarnation or update == own:
             return
-        if rumour.overrides(mine) or rumour.incarnation > mine.incarnation:
-            self._me = mine.replace(incarnation=rumour.incarnation + 1)
-            self._accept(self._me)
+        if update.overrides(own) or update.incarnation > own.incarnation:
+            self._me = own.replace(incarnation=update.incarnation + 1)
+            self._apply(self._me)
 
-    def _accept(self, member: Member) -> None:
-        self._put(member)
-        self._rumours.add(member, len(self._members))
-        self._has_news = True
+    def _apply(self, member: Member) -> None:
+        self._set_record(member)
+        self._updates.add(member, len(self._members))
+        self._push_pending = True
 
     def random_members(self, count: int) -> list[Member]:
-        """Return up to so many other members that are not dead, drawn at random."""
-        drawn = self._living.sample(self._random, count + 1)
+        """Return up to ``count`` other members that are not dead, drawn at random."""
+        drawn = self._live.sample(self._random, count + 1)
         chosen = [name for name in drawn if name != self._me.name][:count]
         return [self._members[name] for name in chosen]
 
     def _push(self, count: int) -> list[Send]:
         return [self._ping(member) for member in self.random_members(count)]
 
-    def _put(self, member: Member) -> None:
+    def _set_record(self, member: Member) -> None:
         known = self._members.get(member.name)
         if known is not None:
             self._digest.toggle(known)
         self._digest.toggle(member)
         self._members[member.name] = member
-        dead = member.status == MemberStatus.DEAD
-        (self._dead if dead else self._living).add(member.name)
-        (self._living if dead else self._dead).discard(member.name)
+        is_dead = member.status == MemberStatus.DEAD
+        (self._dead if is_dead else self._live).add(member.name)
+        (self._live if is_dead else self._dead).discard(member.name)
         if member.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
             self._changed_at[member.name] = self._clock.now()
         else:
             self._changed_at.pop(member.name, None)
         self._version += 1
         if known is None or known.status != member.status:
-            before = None if known is None else MemberStatus(known.status)
-            self.on_status(member, before)
+            previous = None if known is None else MemberStatus(known.status)
+            self.on_status(member, previous)
 
     def _forget(self, name: str) -> None:
         self._digest.toggle(self._members.pop(name))
@@ -393,15 +410,17 @@
         self._dead.discard(name)
         self._version += 1
 
-    def _news(self) -> tuple[Member, ...]:
-        return self._rumours.take(self._settings.updates_per_datagram)
+    def _next_updates(self) -> tuple[Member, ...]:
+        return self._updates.take(self._settings.updates_per_datagram)
 
     def _ping(self, target: Member) -> Send:
-        self._number += 1
-        news = self._news()
-        ping = Ping(self._number, self._me, target.name, self.cached_versions(), news)
+        self._last_number += 1
+        updates = self._next_updates()
+        ping = Ping(
+            self._last_number, self._me, target.name, self.cached_versions(), updates
+        )
         return Send(target.address, ping)
 
 
-def _ignore(member: Member, before: MemberStatus | None) -> None:
+def _ignore(member: Member, previous: MemberStatus | None) -> None:
     pass
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol."""
+"""Datagrams of the membership protocol and their authenticated encoding."""
 
 import hmac
 from dataclasses import dataclass
@@ -9,22 +9,39 @@
 from rattanfork_core.hints import GateReport, ServiceReports
 from rattanfork_core.membership.cached_versions import CachedVersions
 from rattanfork_core.membership.direct_messages import (
-    DIRECT_KINDS,
+    DIRECT_MESSAGE_TYPES,
     DirectMessage,
-    direct_message,
+    direct_message_from_fields,
 )
 from rattanfork_core.membership.member import Member
 from rattanfork_core.quarantine import CrashReport, SuccessReport
 
+#: Bytes of the truncated HMAC-SHA256 at the head of a datagram.
 _MAC_BYTES = 12
-#: Longest datagram; below the usual MTU so that none is fragmented.
-LONGEST_DATAGRAM = 1400
-_MOST_RUMOURS = 16
-_LONGEST_NAME = 200
+#: Below the usual MTU of 1,500 bytes, so that datagrams are not fragmented.
+MAX_DATAGRAM_BYTES = 1400
+#: Updates that are read from one datagram; further ones are ignored.
+_MAX_UPDATES_READ = 16
+_MAX_SERVICE_CHARACTERS = 200
 
 
 class Ping(NamedTuple):
-    """Asks a member whether it is there."""
+    """Probe of a member, which replies with an :class:`Ack`.
+
+    Parameters
+    ==========
+
+    number : int
+        Chosen by the sender and repeated in the reply.
+    sender : Member
+        Record of the sending node.
+    target : str
+        Name of the member that is probed.
+    versions : CachedVersions
+        What the sender has cached.
+    updates : tuple of Member
+        Membership updates piggybacked on the probe.
+    """
 
     number: int
     sender: Member
@@ -34,7 +51,11 @@
 
 
 class Ack(NamedTuple):
-    """The target of a ping is there."""
+    """Reply to a :class:`Ping`, or to a :class:`PingRequest` by the relaying member.
+
+    ``target`` and ``versions`` are those of the member that was probed, which
+    differs from ``sender`` if the ack was relayed.
+    """
 
     number: int
     sender: Member
@@ -44,7 +65,7 @@
 
 
 class PingRequest(NamedTuple):
-    """Please ping that member for me."""
+    """Indirect probe: asks the receiver to ping ``target`` and relay its ack."""
 
     number: int
     sender: Member
@@ -54,55 +75,63 @@
 
 
 class GateUpdate(NamedTuple):
-    """Tells what gates have reported, by service; nobody answers it."""
+    """Load reports of gates by service; it has no reply.
+
+    A gate is the admission control in front of one upstream.
+    """
 
     reports: ServiceReports
 
 
 class CrashUpdate(NamedTuple):
-    """Reports the suspects of crashes of upstreams; it has no reply."""
+    """Requests suspected of crashing upstreams, and their successes; it has no reply.
+
+    See :class:`~rattanfork_core.quarantine.Quarantine`.
+    """
 
     reports: tuple[CrashReport, ...]
     successes: tuple[SuccessReport, ...] = ()
 
 
-#: Gossip updates without a reply, which each receiver disseminates.
+#: Datagrams without a reply, whose content each receiver disseminates in turn.
 GossipUpdate = GateUpdate | CrashUpdate
+#: Datagrams of failure detection.
 GossipMessage = Ping | Ack | PingRequest
-_KINDS: tuple[type, ...] = (
+#: The index of a type is sent on the wire, so new types are appended.
+_MESSAGE_TYPES: tuple[type, ...] = (
     Ping,
     Ack,
     PingRequest,
     GateUpdate,
     CrashUpdate,
-    *DIRECT_KINDS,
+    *DIRECT_MESSAGE_TYPES,
 )
-#: All that travels in a datagram.
+#: All messages that a datagram may hold.
 Datagram = GossipMessage | GossipUpdate | DirectMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to send."""
+    """A datagram that the caller has to send."""
 
     address: tuple[str, int]
     message: GossipMessage
 
 
 def encode_gossip(message: Datagram, key: bytes) -> bytes:
-    """Return a message as an authenticated datagram."""
-    body = msgpack.packb((_KINDS.index(type(message)), *message))
+    """Return a message as a datagram: truncated HMAC, then msgpack."""
+    body = msgpack.packb((_MESSAGE_TYPES.index(type(message)), *message))
     return hmac.digest(key, b"gossip" + body, "sha256")[:_MAC_BYTES] + body
 
 
 def decode_gossip(data: bytes, key: bytes) -> Datagram:
-    """Return the message of a datagram.
+    """Return the message in a datagram.
 
     Raises
     ======
 
     ValueError
-        If the datagram was not made with the key or is malformed.
+        If the HMAC does not match the key, or the content is malformed.
 
     Examples
     ========
@@ -114,45 +143,47 @@
     >>> decode_gossip(b"x" * 40, b"k")
     Traceback (most recent call last):
     ...
-    ValueError: datagram of a stranger
+    ValueError: datagram authentication failed
     """
     mac, body = data[:_MAC_BYTES], data[_MAC_BYTES:]
     expected = hmac.digest(key, b"gossip" + body, "sha256")[:_MAC_BYTES]
     if not hmac.compare_digest(mac, expected):
-        raise ValueError("datagram of a stranger")
+        raise ValueError("datagram authentication failed")
     try:
-        kind, *fields = msgpack.unpackb(body, use_list=False)
-        message_type = _KINDS[kind]
-        if message_type in DIRECT_KINDS:
-            return direct_message(message_type, tuple(fields))
+        type_index, *fields = msgpack.unpackb(body, use_list=False)
+        message_type = _MESSAGE_TYPES[type_index]
+        if message_type in DIRECT_MESSAGE_TYPES:
+            return direct_message_from_fields(message_type, tuple(fields))
         if message_type is GateUpdate:
-            return _gate_news(*fields)
+            return _gate_update_from_fields(*fields)
         if message_type is CrashUpdate:
             reports, successes = fields
             return CrashUpdate(
                 tuple(CrashReport.from_fields(r) for r in reports),
                 tuple(SuccessReport.from_fields(s) for s in successes),
             )
-        number, sender, target, held, rumours = fields
+        number, sender, target, versions, updates = fields
     except Exception as error:
-        raise ValueError("malformed datagram") from error
+        raise ValueError("malformed datagram: unreadable content") from error
     if type(number) is not int:
-        raise ValueError("malformed datagram")
-    if not isinstance(target, str) or not isinstance(rumours, tuple):
-        raise ValueError("malformed datagram")
+        raise ValueError("malformed datagram: integer expected as its number")
+    if not isinstance(target, str) or not isinstance(updates, tuple):
+        raise ValueError("malformed datagram: target and list of updates expected")
     return message_type(
         number,
         Member.from_fields(sender),
         target,
-        CachedVersions.from_fields(held),
-        tuple(Member.from_fields(rumour) for rumour in rumours[:_MOST_RUMOURS]),
+        CachedVersions.from_fields(versions),
+        tuple(Member.from_fields(update) for update in updates[:_MAX_UPDATES_READ]),
     )
 
 
-def _gate_news(reports: dict) -> GateUpdate:
-    told: dict[str, list[GateReport]] = {}
-    for service, several in reports.items():
-        if not isinstance(service, str) or len(service) > _LONGEST_NAME:
-            raise ValueError("name of a service expected")
-        told[service] = [GateReport.from_fields(fields) for fields in several]
-    return GateUpdate(told)
+def _gate_update_from_fields(reports: dict) -> GateUpdate:
+    reports_by_service: dict[str, list[GateReport]] = {}
+    for service, service_reports in reports.items():
+        if not isinstance(service, str) or len(service) > _MAX_SERVICE_CHARACTERS:
+            raise ValueError("gate update: service name expected")
+        reports_by_service[service] = [
+            GateReport.from_fields(fields) for fields in service_reports
+        ]
+    return GateUpdate(reports_by_service)
--- a/packages/rattanfork-core/rattanfork_core/membership/random_pool.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/random_pool.py
@@ -1,16 +1,17 @@
-"""A set from which random members are drawn in constant time."""
+"""A set of names that can be sampled in constant time."""
 
 from random import Random
 
 
 class RandomPool:
-    """Names, added, removed and drawn each in constant time.
+    """Set of names with addition, removal and sampling in constant time.
 
     Explanation
     ===========
 
-    At 17,000 members, listing the living to draw two of them takes a
-    millisecond, many times a second.
+    Each probe and push samples a few members.  Building a list of 17,000 members
+    to draw two of them takes a millisecond, many times a second.  Names are kept in
+    a list, and a removed name is replaced by the last one.
 
     Examples
     ========
@@ -25,30 +26,30 @@
 
     def __init__(self) -> None:
         self._names: list[str] = []
-        self._places: dict[str, int] = {}
+        self._positions: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._names)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._places
+        return name in self._positions
 
     def add(self, name: str) -> None:
-        """Add a name."""
-        if name not in self._places:
-            self._places[name] = len(self._names)
+        """Add a name; does nothing if it is in the set."""
+        if name not in self._positions:
+            self._positions[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name, if it is there."""
-        place = self._places.pop(name, None)
-        if place is None:
+        """Remove a name; does nothing if it is not in the set."""
+        position = self._positions.pop(name, None)
+        if position is None:
             return
         last = self._names.pop()
         if last != name:
-            self._names[place] = last
-            self._places[last] = place
+            self._names[position] = last
+            self._positions[last] = position
 
     def sample(self, random: Random, count: int) -> list[str]:
-        """Return up to ``count`` different names."""
+        """Return up to ``count`` distinct names, drawn uniformly."""
         return random.sample(self._names, min(count, len(self._names)))
--- a/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
@@ -1,11 +1,19 @@
-"""The few nodes of each data centre that do a duty."""
+"""The nodes of each data centre that hold a role."""
 
 from rattanfork_core.membership.membership import Membership
 from rattanfork_core.membership.roles import role_holders
 
 
 class RoleAssignment:
-    """Who does a duty, by this node's own view of the members.
+    """Holders of a role, computed from this node's membership view.
+
+    Explanation
+    ===========
+
+    Tasks such as reading the store need only a few nodes, so that the load on the
+    store does not grow with the fleet.  The holders are chosen in each data centre,
+    so that one that is partitioned off still has some.  They are computed anew
+    whenever the view changes, so others take over from holders that are gone.
 
     Parameters
     ==========
@@ -13,9 +21,9 @@
     membership : Membership
         The view.
     role : str
-        Name of the duty; others fall to other nodes.
+        Name of the role; different roles are assigned independently.
     per_data_centre : int
-        Nodes of each data centre that do it.
+        Number of holders in each data centre.
 
     Examples
     ========
@@ -39,47 +47,47 @@
         self._per_centre = per_data_centre
         self._version = -1
         self._names: list[str] = []
-        self._fleet = 0
+        self._fleet_size = 0
 
     @property
     def version(self) -> int:
-        """Version of the view that the roster was made from."""
-        self._look()
+        """Version of the view from which the assignment was computed."""
+        self._refresh()
         return self._version
 
     @property
     def names(self) -> list[str]:
-        """All that do the duty."""
-        self._look()
+        """Names of all holders."""
+        self._refresh()
         return self._names
 
     @property
     def others(self) -> list[str]:
-        """All other nodes that do the duty."""
+        """Names of all holders except this node."""
         me = self._membership.me.name
         return [name for name in self.names if name != me]
 
     @property
     def includes_self(self) -> bool:
-        """Whether this node does it."""
+        """Whether this node is a holder."""
         return self._membership.me.name in self.names
 
     @property
     def fleet_size(self) -> int:
-        """How many nodes there are."""
-        self._look()
-        return self._fleet
+        """Number of nodes in the view that are not dead."""
+        self._refresh()
+        return self._fleet_size
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         if self._version == self._membership.version:
             return
         self._version = self._membership.version
-        centres: dict[str, list[str]] = {}
+        names_by_centre: dict[str, list[str]] = {}
         for member in self._membership.present():
-            centres.setdefault(member.data_centre, []).append(member.name)
-        self._fleet = sum(len(names) for names in centres.values())
+            names_by_centre.setdefault(member.data_centre, []).append(member.name)
+        self._fleet_size = sum(len(names) for names in names_by_centre.values())
         groups = (
             role_holders(names, self._duty, self._per_centre)
-            for names in centres.values()
+            for names in names_by_centre.values()
         )
         self._names = [name for group in groups for name in group]
--- a/packages/rattanfork-core/rattanfork_core/membership/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/settings.py
@@ -11,21 +11,22 @@
     ==========
 
     period : float
-        Seconds between two probes.
+        Seconds between two probes (the protocol period of SWIM).
     ack_timeout : float
-        Seconds after which others are asked to probe.
+        Seconds without an ack after which other members are asked to probe.
     indirect_probes : int
-        How many are asked.
+        Number of members that are asked.
     suspicion_multiplier : float
-        Periods a suspect has to answer, times the logarithm of the fleet.
+        Protocol periods that a suspect has to refute, as a multiple of the
+        binary logarithm of the fleet size.
     updates_per_datagram : int
-        Most rumours of a datagram.
+        Maximum number of membership updates on one datagram.
     push_interval : float
-        Least seconds between two pushes of fresh news.
+        Minimum seconds between two pushes of new updates.
     push_fanout : int
-        How many others fresh news is pushed to.
+        Number of members to which new updates are pushed.
     dead_retention : float
-        Seconds for which the dead are remembered.
+        Seconds for which records of dead members are kept.
     """
 
     period: float = 1.0
--- a/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
@@ -1,4 +1,4 @@
-"""When a node compares its whole view, and with whom."""
+"""Schedule of the anti-entropy exchanges of whole views, and their targets."""
 
 from collections.abc import Iterable
 from random import Random
@@ -8,30 +8,32 @@
 
 Address = tuple[str, int]
 
-#: Seconds between two comparisons of a node that knows the others.
-_INTERVAL = 10.0
-#: Seconds between tries of a node that knows nobody, and before the first
-#: further try of a seed that nobody known stands at.
-_FIRST_PAUSE = 0.3
-#: Part of the comparisons that go to a member, while all seeds are known.
-_MEMBER_SHARE = 0.9
-#: Part that goes to a seed nobody known stands at, once it was tried often:
-#: it may be gone for good, and views must still be compared.
-_MISSING_SHARE = 0.5
+#: Seconds between two exchanges in the normal case.
+_INTERVAL_S = 10.0
+#: Seconds between attempts of a node that knows no other member, and first pause
+#: before a missing seed is tried again.
+_FIRST_RETRY_S = 0.3
+#: Fraction of the exchanges made with a member, not a seed, if no seed is missing.
+_MEMBER_FRACTION = 0.9
+#: Fraction of the exchanges that still go to a missing seed once its pause has
+#: reached the interval: it may be gone for good, and views must still be compared.
+_MISSING_SEED_FRACTION = 0.5
+#: Bounds of the random factor of each pause.
 _JITTER = (0.7, 1.3)
 
 
 class SyncSchedule:
-    """Spaces the comparisons of whole views, and chooses whom to ask.
+    """Schedules exchanges of whole views, and chooses the address to ask.
 
     Explanation
     ===========
 
-    A seed that was down is asked again soon, with pauses that double.  When
-    all nodes start at once the seed may be the last to listen: the others
-    have found each other by then, and the seed, which has no seed of its
-    own, knows nobody.  Asked as seldom as any member, it stayed alone for
-    minutes, and its upstream served nobody.
+    A seed is missing while no known member has its address.  A missing seed is
+    tried again soon, with pauses that double.  This matters if all nodes start
+    together and a seed is the last to listen: the others have found each other,
+    and the seed, which has no seed of its own, knows nobody and waits to be
+    asked.  If missing seeds were asked no more often than members, it would stay
+    alone for minutes, and its upstream would get no requests.
 
     Parameters
     ==========
@@ -41,7 +43,7 @@
     random : Random
         Source of choices and jitter.
     seeds : iterable of pairs
-        Addresses of peer ports through which to join.
+        Addresses (host and peer port) through which to join.
 
     Examples
     ========
@@ -64,49 +66,52 @@
         self._random = random
         self._seeds = list(seeds)
         self._next = clock.now()
-        self._under_way = False
-        self._seed_pause = _FIRST_PAUSE
+        self._in_progress = False
+        self._seed_pause = _FIRST_RETRY_S
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take further seeds, and ask soon."""
+        """Add seeds, and make an exchange due now."""
         self._seeds = list({*self._seeds, *seeds})
-        self._seed_pause = _FIRST_PAUSE
+        self._seed_pause = _FIRST_RETRY_S
         self._next = self._clock.now()
 
     def due(self) -> bool:
-        """Return whether to compare now."""
-        return not self._under_way and self._clock.now() >= self._next
+        """Return whether to start an exchange now."""
+        return not self._in_progress and self._clock.now() >= self._next
 
     def begin(self, me: Member, present: Iterable[Member]) -> Address | None:
-        """Take note that a comparison begins; return whom to ask, if anybody."""
-        self._under_way = True
+        """Record that an exchange starts; return the address to ask, if any.
+
+        ``present`` are the members that are not dead.
+        """
+        self._in_progress = True
         others = [(m.host, m.peer_port) for m in present if m.name != me.name]
-        mine = (me.host, me.peer_port)
-        missing = self._missing(mine, others)
-        if missing and (not others or self._asks_missing()):
+        own = (me.host, me.peer_port)
+        missing = self._missing_seeds(own, others)
+        if missing and (not others or self._prefers_missing_seed()):
             return self._random.choice(missing)
-        if others and self._random.random() < _MEMBER_SHARE:
+        if others and self._random.random() < _MEMBER_FRACTION:
             return self._random.choice(others)
-        seeds = [seed for seed in self._seeds if seed != mine]
-        # Also once in a while when all is well: the only way two groups that
-        # have forgotten each other can meet again.
+        seeds = [seed for seed in self._seeds if seed != own]
+        # Seeds are also asked if none is missing: two groups of nodes that have
+        # forgotten each other can find each other in no other way.
         return self._random.choice(seeds) if seeds else None
 
     def end(self, me: Member, present: Iterable[Member]) -> None:
-        """Take note that a comparison has ended, well or not."""
-        self._under_way = False
+        """Record that an exchange has ended, whether it succeeded or not."""
+        self._in_progress = False
         others = [(m.host, m.peer_port) for m in present if m.name != me.name]
-        pause = _INTERVAL
+        pause = _INTERVAL_S
         if not others:
-            pause = _FIRST_PAUSE
-        elif self._missing((me.host, me.peer_port), others):
-            pause = self._seed_pause = min(_INTERVAL, 2 * self._seed_pause)
+            pause = _FIRST_RETRY_S
+        elif self._missing_seeds((me.host, me.peer_port), others):
+            pause = self._seed_pause = min(_INTERVAL_S, 2 * self._seed_pause)
         self._next = self._clock.now() + pause * self._random.uniform(*_JITTER)
 
-    def _asks_missing(self) -> bool:
-        tried_often = self._seed_pause >= _INTERVAL
-        return not tried_often or self._random.random() < _MISSING_SHARE
+    def _prefers_missing_seed(self) -> bool:
+        probably_gone = self._seed_pause >= _INTERVAL_S
+        return not probably_gone or self._random.random() < _MISSING_SEED_FRACTION
 
-    def _missing(self, mine: Address, others: list[Address]) -> list[Address]:
-        known = {mine, *others}
+    def _missing_seeds(self, own: Address, others: list[Address]) -> list[Address]:
+        known = {own, *others}
         return [seed for seed in self._seeds if seed not in known]
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Views converge; the dead are found, the living refute, the split heals."""
+"""Convergence of membership views through crashes, losses and partitions."""
 
 from random import Random
 
@@ -20,20 +20,20 @@
 
 
 class Fleet:
-    """Views joined by a network that loses, cuts and stops at will."""
+    """Views on a simulated network with losses, partitions and stopped nodes."""
 
     def __init__(self, count: int, seed: int = 1, loss: float = 0.0) -> None:
         self.clock = ManualClock()
         self.random = Random(seed)
         self.loss = loss
         self.stopped: set[int] = set()
-        self.side: dict[int, int] = {}
+        self.partition: dict[int, int] = {}
         self.messages = 0
-        self.views = [self.make(i) for i in range(count)]
+        self.views = [self.make_view(i) for i in range(count)]
         for view in self.views:
             view.merge(other.me for other in self.views)
 
-    def make(self, i: int, boot: str = "b1") -> Membership:
+    def make_view(self, i: int, boot: str = "b1") -> Membership:
         me = Member(f"w{i}", boot, "s", f"dc{i % 3}", "127.0.0.1", 1 + i, 1 + i, 8)
         return Membership(self.clock, Random(self.random.random()), me)
 
@@ -41,14 +41,14 @@
         for send in sends:
             self.messages += 1
             target = send.address[1] - 1
-            cut = self.side.get(sender, 0) != self.side.get(target, 0)
-            if target in self.stopped or cut or self.random.random() < self.loss:
+            is_cut = self.partition.get(sender, 0) != self.partition.get(target, 0)
+            if target in self.stopped or is_cut or self.random.random() < self.loss:
                 continue
             message = decode_gossip(encode_gossip(send.message, KEY), KEY)
             source = self.views[sender].me.address
             self.deliver(target, self.views[target].on_message(message, source))
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 5)):
             self.clock.advance(0.2)
             for i, view in enumerate(self.views):
@@ -64,79 +64,79 @@
         }
 
 
-def test_a_killed_member_is_found_dead_by_all():
+def test_killed_member_is_declared_dead_by_all():
     fleet = Fleet(12)
-    fleet.play(3)
+    fleet.run(3)
     fleet.stopped.add(4)
-    fleet.play(60)
+    fleet.run(60)
     assert fleet.statuses(4) == {MemberStatus.DEAD}
     assert all(fleet.statuses(i) == {MemberStatus.ALIVE} for i in (0, 1, 11))
 
 
-def test_lost_datagrams_do_not_kill_the_living():
+def test_lost_datagrams_declare_no_live_member_dead():
     fleet = Fleet(12, loss=0.1)
-    fleet.play(120)
+    fleet.run(120)
     assert all(MemberStatus.DEAD not in fleet.statuses(i) for i in range(12))
 
 
-def test_leaving_is_known_everywhere_within_two_seconds():
-    # Callers get refusals from an instance that drains: the news of leaving
-    # has to be ahead of all other news.
+def test_leaving_member_is_known_to_all_but_one_within_two_seconds():
+    # A draining instance refuses requests that are still forwarded to it, so the
+    # update has to spread ahead of all others.
     fleet = Fleet(30)
-    fleet.play(5)
+    fleet.run(5)
     fleet.deliver(7, fleet.views[7].leave())
-    fleet.play(2)
+    fleet.run(2)
     unaware = [
         v for v in fleet.views if v.members["w7@b1"].status != MemberStatus.LEAVING
     ]
     assert len(unaware) <= 1
 
 
-def test_a_frozen_member_that_wakes_is_alive_again():
+def test_suspended_member_is_alive_again_after_it_resumes():
     fleet = Fleet(10)
-    fleet.play(3)
+    fleet.run(3)
     fleet.stopped.add(2)
-    fleet.play(60)
+    fleet.run(60)
     fleet.stopped.clear()
-    fleet.play(120)
+    fleet.run(120)
     assert fleet.statuses(2) == {MemberStatus.ALIVE}
 
 
-def test_two_regions_that_lost_each_other_meet_again():
-    # Each side declares the other dead.  Nobody probes the dead, so without
-    # a safeguard the split would outlast its cause for ever.
+def test_views_converge_after_a_long_partition_heals():
+    # Guards against a partition that outlasts its cause: each side declares the
+    # other dead, and plain SWIM never probes dead members again.
     fleet = Fleet(12)
-    fleet.play(3)
-    fleet.side = dict.fromkeys(range(6), 1)
-    fleet.play(90)
+    fleet.run(3)
+    fleet.partition = dict.fromkeys(range(6), 1)
+    fleet.run(90)
     assert MemberStatus.DEAD in fleet.statuses(0)
-    fleet.side = {}
-    fleet.play(200)
+    fleet.partition = {}
+    fleet.run(200)
     assert all(fleet.statuses(i) == {MemberStatus.ALIVE} for i in range(12))
 
 
 @pytest.mark.parametrize("count", [10, 40])
-def test_messages_of_a_node_do_not_grow_with_the_fleet(count):
+def test_message_rate_of_a_node_does_not_grow_with_the_fleet(count):
     fleet = Fleet(count)
-    fleet.play(20)
+    fleet.run(20)
     per_node_second = fleet.messages / count / 20
     assert per_node_second < 4
 
 
-def test_datagrams_stay_below_the_usual_mtu():
+def test_datagram_with_many_updates_stays_below_the_usual_mtu():
     fleet = Fleet(3)
     view = fleet.views[0]
-    view.merge(fleet.make(i, "f" * 12).me for i in range(50, 100))
+    view.merge(fleet.make_view(i, "f" * 12).me for i in range(50, 100))
     [send, *_] = view.tick()
     assert len(encode_gossip(send.message, KEY)) < 1400
 
 
-def test_a_replaced_process_is_another_member():
+def test_replaced_process_is_declared_dead_and_its_successor_alive():
     fleet = Fleet(4)
-    fleet.play(2)
-    fleet.views[3] = fleet.make(3, "b2")
+    fleet.run(2)
+    fleet.views[3] = fleet.make_view(3, "b2")
     fleet.views[3].merge([fleet.views[0].me])
-    fleet.play(60)
+    fleet.run(60)
     view = fleet.views[0].members
     assert view["w3@b1"].status == MemberStatus.DEAD
     assert view["w3@b2"].status == MemberStatus.ALIVE
@@ -152,7 +152,7 @@
 
 
 @given(st.lists(RECORDS, max_size=8), st.randoms(use_true_random=False))
-def test_any_order_of_rumours_gives_the_same_view(records, random):
+def test_order_of_updates_does_not_change_the_view(records, random):
     views = [Fleet(1).views[0] for _ in range(2)]
     views[0].merge(records)
     shuffled = list(records)
@@ -163,40 +163,39 @@
 
 
 @given(st.binary(max_size=200))
-def test_foreign_datagrams_are_refused(data):
-    with pytest.raises(ValueError, match="stranger"):
+def test_datagram_without_a_valid_hmac_is_rejected(data):
+    with pytest.raises(ValueError, match="datagram authentication failed"):
         decode_gossip(data, KEY)
 
 
-def test_rumours_are_told_a_bounded_number_of_times():
+def test_update_is_sent_a_bounded_number_of_times():
     queue = UpdateQueue()
     queue.add(Fleet(1).views[0].me, members=1000)
-    told = 0
+    transmissions = 0
     while queue.take(6):
-        told += 1
-    assert told <= 31
+        transmissions += 1
+    assert transmissions <= 31
 
 
-def test_duty_moves_when_its_holder_goes():
+def test_other_holders_keep_their_role_when_one_is_gone():
     names = [f"n{i}" for i in range(20)]
     holders = [n for n in names if holds_role(n, names, "read", 2)]
     names.remove(holders[0])
     assert holders[1] in [n for n in names if holds_role(n, names, "read", 2)]
 
 
-def test_one_of_two_finds_the_other_after_a_long_stop_without_any_help():
-    """One of two nodes is away long enough to be declared dead.
+def test_restarted_node_of_two_is_found_without_the_store():
+    """Guards against a restarted node that stays alone and gets no requests.
 
-    It starts again at its address and knows nobody, for the store is away.
-    The other has no living member left to probe; if it probed nobody, the two
-    would never meet and the restarted one would take no work.
+    It was declared dead, and without the store it knows no address when it restarts.
+    The other has no live member left, so it has to probe the dead one's address.
     """
     fleet = Fleet(2)
     fleet.stopped.add(1)
-    fleet.play(60)
+    fleet.run(60)
     assert fleet.views[0].members["w1@b1"].status == MemberStatus.DEAD
-    fleet.views[1] = fleet.make(1, "b2")
+    fleet.views[1] = fleet.make_view(1, "b2")
     fleet.stopped.clear()
-    fleet.play(5)
+    fleet.run(5)
     assert {m.instance for m in fleet.views[1].present()} == {"w0", "w1"}
     assert "w1@b2" in {m.name for m in fleet.views[0].present()}
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
@@ -1,4 +1,4 @@
-"""Whom a node asks for its view, and when."""
+"""Times and targets of view exchanges, with seeds that are up, late or gone."""
 
 from random import Random
 
@@ -13,50 +13,52 @@
     return Member(f"w{number}", "b", "s", "dc", "127.0.0.1", number, number, 8)
 
 
-def asked(schedule: SyncSchedule, clock: ManualClock, present, seconds: float) -> list:
-    """Return when whom is asked in a time, each try taking 50 ms."""
-    found = []
+def exchanges_of(
+    schedule: SyncSchedule, clock: ManualClock, present, seconds: float
+) -> list:
+    """Return the times and targets of exchanges; each exchange takes 50 ms."""
+    exchanges = []
     for _ in range(int(seconds * 20)):
         if schedule.due():
-            found.append((clock.now(), schedule.begin(present[0], present)))
+            exchanges.append((clock.now(), schedule.begin(present[0], present)))
             schedule.end(present[0], present)
         clock.advance(0.05)
-    return found
+    return exchanges
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_seed_that_was_down_is_asked_again_soon(seed):
-    # Three nodes start at once.  Two find each other before the seed listens;
-    # the seed has no seed itself and waits to be asked.  At ten seconds a
-    # comparison, one in ten of them at a seed, it was alone for minutes.
+def test_seed_that_was_down_is_asked_again_within_a_second(seed):
+    # Three nodes start together.  Two find each other before the seed listens; the
+    # seed has no seed itself and waits to be asked.  With an exchange every ten
+    # seconds, one in ten of them with a seed, it would be alone for minutes.
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(seed), [SEED])
     tries = [
         at
-        for at, whom in asked(schedule, clock, [member(1), member(2)], 5)
-        if whom == SEED
+        for at, target in exchanges_of(schedule, clock, [member(1), member(2)], 5)
+        if target == SEED
     ]
     assert len(tries) >= 3
     assert tries[1] - tries[0] < 1.0
 
 
-def test_a_seed_that_is_gone_for_good_costs_a_bounded_number_of_tries():
+def test_seed_that_is_gone_for_good_is_tried_a_bounded_number_of_times():
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(1), [SEED])
-    all_asked = asked(schedule, clock, [member(1), member(2)], 600)
-    tries = [at for at, whom in all_asked if whom == SEED]
+    exchanges = exchanges_of(schedule, clock, [member(1), member(2)], 600)
+    tries = [at for at, target in exchanges if target == SEED]
     assert len(tries) < 50
-    assert len(all_asked) - len(tries) > 20
+    assert len(exchanges) - len(tries) > 20
 
 
-def test_a_known_seed_is_asked_as_rarely_as_before():
+def test_known_seed_does_not_shorten_the_interval():
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(1), [SEED])
-    all_asked = asked(schedule, clock, [member(1), member(2), member(7)], 600)
-    assert len(all_asked) < 70
+    exchanges = exchanges_of(schedule, clock, [member(1), member(2), member(7)], 600)
+    assert len(exchanges) < 70
 
 
-def test_a_node_that_knows_nobody_asks_several_times_a_second():
+def test_node_that_knows_no_other_asks_several_times_a_second():
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(1), [SEED])
-    assert len(asked(schedule, clock, [member(1)], 3)) > 6
+    assert len(exchanges_of(schedule, clock, [member(1)], 3)) > 6
--- a/packages/rattanfork-core/rattanfork_core/membership/update_queue.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/update_queue.py
@@ -1,24 +1,30 @@
-"""News on its way to other members."""
+"""Membership updates that are still to be sent to other members."""
 
 from itertools import islice
 from math import ceil, log2
 
 from rattanfork_core.membership.member import Member, MemberStatus
 
-#: Rumours at the head of the queue among which the most urgent are chosen.
-_SORTED = 64
+#: Updates at the head of the queue that are sorted by priority.
+_MAX_SORTED = 64
 
 
 class UpdateQueue:
-    """Rumours, each told a number of times that grows with the logarithm.
+    """Queue of updates, each sent a number of times logarithmic in the fleet size.
 
     Explanation
     ===========
 
-    A message carries a bounded number of rumours, so that the cost of a node
-    does not grow with the fleet or with what happens in it.  Rumours told
-    least go first, and leaving goes before all else: it is the one that
-    stops new work.
+    This is the dissemination component of SWIM.  A datagram carries a bounded
+    number of updates, so the cost of a node grows neither with the fleet nor
+    with the rate of changes.  Updates that were sent least often go first, after
+    those of members that leave: only these stop new requests to a member.
+
+    Parameters
+    ==========
+
+    multiplier : float
+        Transmissions of an update for each doubling of the fleet.
 
     Examples
     ========
@@ -34,33 +40,36 @@
 
     def __init__(self, multiplier: float = 3.0) -> None:
         self._multiplier = multiplier
-        self._rumours: dict[str, list] = {}
+        self._updates: dict[str, list] = {}
 
     def __len__(self) -> int:
-        return len(self._rumours)
+        return len(self._updates)
 
     def add(self, member: Member, members: int) -> None:
-        """Take in news, in place of older news of the same member."""
-        times = ceil(self._multiplier * log2(members + 2))
-        self._rumours[member.name] = [times, member]
+        """Queue the record of a member, in place of an earlier one.
+
+        ``members`` is the number of members known.
+        """
+        transmissions = ceil(self._multiplier * log2(members + 2))
+        self._updates[member.name] = [transmissions, member]
 
-    def take(self, most: int) -> tuple[Member, ...]:
-        """Return the rumours for one message, and count them as told."""
-        if not self._rumours:
+    def take(self, limit: int) -> tuple[Member, ...]:
+        """Return the updates for one datagram, and count them as sent."""
+        if not self._updates:
             return ()
-        # Only the head of a long queue is sorted: after a split heals there
-        # may be thousands of rumours, and this runs for every datagram.
-        entries = list(islice(self._rumours.items(), _SORTED))
-        entries.sort(key=_urgency)
-        taken = entries[:most]
+        # Only the head of a long queue is sorted: after a partition heals there
+        # may be thousands of updates, and this runs for every datagram.
+        entries = list(islice(self._updates.items(), _MAX_SORTED))
+        entries.sort(key=_priority)
+        taken = entries[:limit]
         for name, entry in taken:
             entry[0] -= 1
-            del self._rumours[name]
+            del self._updates[name]
             if entry[0] > 0:
-                self._rumours[name] = entry
+                self._updates[name] = entry
         return tuple(entry[1] for _, entry in taken)
 
 
-def _urgency(item: tuple[str, list]) -> tuple[bool, int]:
-    times, member = item[1]
-    return (member.status != MemberStatus.LEAVING, -times)
+def _priority(item: tuple[str, list]) -> tuple[bool, int]:
+    transmissions_left, member = item[1]
+    return (member.status != MemberStatus.LEAVING, -transmissions_left)
