--- a/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status.threshold_cache import ThresholdCache
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.routing import InstancePicker
 
 #: Seconds for which a threshold heard is believed as it is, ranks by which it
@@ -112,7 +112,7 @@
     def shed_share(self, picker: InstancePicker, operation: str) -> float:
         """Return 0 while all is admitted, up to 1 when nothing is."""
         cuts = [self._hints.threshold(operation, state.name) for state in picker.subset]
-        return 1.0 - max(cuts) / RANKS
+        return 1.0 - max(cuts) / RANK_LIMIT
 
     def thresholds(
         self, picker: InstancePicker, operation: str
--- a/packages/rattanfork-node/rattanfork_node/config/holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/holder.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.routes import Configuration, Route, WeightedTurns
+from rattanfork_core.routes import Configuration, Route, WeightedRoundRobin
 
 
 class ConfigurationHolder:
@@ -26,7 +26,7 @@
         self._decode = decode
         self._current: Configuration | None = None
         self._document = b""
-        self._turns: dict[str, tuple[Route, WeightedTurns]] = {}
+        self._turns: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         #: Called after a new configuration has come into force.
         self.on_change: Callable[[Configuration], None] = lambda _: None
 
@@ -66,10 +66,10 @@
 
     def next_service(self, route: Route) -> str | None:
         """Choose the service of the next request by the weights of a route."""
-        if len(route.shares) == 1:
-            return route.shares[0].service
+        if len(route.services) == 1:
+            return route.services[0].service
         entry = self._turns.get(route.name)
-        if entry is None or entry[0].shares != route.shares:
-            entry = (route, WeightedTurns(route.shares))
+        if entry is None or entry[0].services != route.services:
+            entry = (route, WeightedRoundRobin(route.services))
             self._turns[route.name] = entry
         return entry[1].next()
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -17,10 +17,10 @@
 )
 from rattanfork_core.quota import (
     QuotaBound,
-    RecentMaximum,
     TokenIssuer,
     TokenLeases,
     TokenRequest,
+    WindowedMaximum,
 )
 
 from rattanfork_node.member.gossip_task import GossipTask
@@ -86,7 +86,7 @@
         self._issuers: dict[str, Member] = {}
         self._settled_at = clock.now()
         self._alive_count = 1
-        self._fleet_size = RecentMaximum(clock, _FLEET_SIZE_WINDOW_S, 1)
+        self._fleet_size = WindowedMaximum(clock, _FLEET_SIZE_WINDOW_S, 1)
         #: Times at which instances were suspected that have not been replaced.
         self._failed_at: dict[str, float] = {}
         self._ticks = 0
@@ -126,7 +126,7 @@
         self._refresh_view()
         self.leases.tick()
         if self._ticks % _SWEEP_TICKS == 0:
-            self.issuer.sweep()
+            self.issuer.drop_idle_accounts()
             self._expire_failures()
 
     def _issue(self, request: QuotaRequest) -> QuotaReply | None:
