--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -17,7 +17,7 @@
 from rattanfork_node.peer import ConfigurationRequest, LinkLostError, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Longest wait of one long poll; each poll that expires costs the store one call.
+#: Longest wait of one watch; each wait that expires costs the store one call.
 _WATCH_WAIT_S = 20.0
 #: Bounds of the exponential back-off while the store does not answer.
 _MIN_RETRY_DELAY_S = 0.1
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -38,8 +38,8 @@
 
     The lease proves that the configuration was the newest at a recent time.
     Readers take turns polling the store and gossip the age of their confirmation.
-    Every other node renews from the peer that reported the newest one, so the load
-    on the store does not grow with the fleet.
+    A node renews from the peer that reported the newest one, so the load on the
+    store does not grow with the fleet.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_watcher.py
@@ -22,7 +22,7 @@
 from rattanfork_node.telemetry import Counters, log_change
 
 _TABLE, _, _HEAD = HEAD_KEY.partition("/")
-#: Longest wait of one long poll; rules change rarely.
+#: Longest wait of one watch; rules change rarely.
 _WATCH_WAIT_S = 28.0
 #: Interval between calls while the store does not answer, and between requests to
 #: peers.
