--- a/bench/client_accounts.py
+++ b/bench/client_accounts.py
@@ -35,7 +35,9 @@
     for _ in range(LOOKUPS):
         index.find(key)
     each = (perf_counter() - began) / LOOKUPS
-    print(f"{index.keys} keys: {median(seconds) * 1e3:.0f} ms, {held / 1e6:.0f} MB")
+    print(
+        f"{index.key_count} keys: {median(seconds) * 1e3:.0f} ms, {held / 1e6:.0f} MB"
+    )
     print(f"one look-up: {each * 1e6:.2f} us")
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -11,7 +11,7 @@
 
 import uvloop
 from rattanfork_core.admission import AdmissionController, AdmissionSettings, Waiter
-from rattanfork_core.atmostonce import RunLedger, Ticket
+from rattanfork_core.atmostonce import KeyRegistry, Ticket
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import ManualClock, MonotonicClock
 from rattanfork_core.gate_status import ThresholdCache
@@ -196,14 +196,14 @@
     for size in (1000, 10_000, 50_000):
         clock = ManualClock()
 
-        def make(size=size, clock=clock) -> RunLedger:
-            ledger = RunLedger(clock, "g", "b", epoch_keys=1_000_000)
+        def make(size=size, clock=clock) -> KeyRegistry:
+            ledger = KeyRegistry(clock, "g", "b", epoch_keys=1_000_000)
             for i in range(size):
                 ticket = Ticket("claims", "g", "b", 1, i)
                 key = f"lqZjbGFpbXMaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa{i:08d}"
-                verdict = ledger.arrive(key, ticket, "clerk", i)
+                verdict = ledger.on_request(key, ticket, "clerk", i)
                 ledger.hand_over(verdict.record)
-                ledger.answer(verdict.record, CallResult(Outcome.ANSWERED))
+                ledger.store_answer(verdict.record, CallResult(Outcome.ANSWERED))
             return ledger
 
         began = process_time()
--- a/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
-from rattanfork_core.trace import LogLine, read_lines
+from rattanfork_core.trace import LogLine, parse_lines
 from rattanfork_platform import PlatformDownError
 from rattanfork_platform.connect import connect_platform, read_configuration
 
@@ -28,7 +28,7 @@
     version, index = _read(platform)
     if index is None:
         raise fail(f"configuration {version}: it has no accounts", FAILED)
-    refused = _count_refused(read_lines(log_texts(files))) if files else {}
+    refused = _count_refused(parse_lines(log_texts(files))) if files else {}
     accounts = sorted(index.accounts.values(), key=lambda account: account.name)
     if as_json:
         entries = [_as_map(a, index, refused.get(a.name, {})) for a in accounts]
@@ -73,7 +73,14 @@
     priority = "of the route" if account.priority is None else account.priority
     rate = f"{account.rate:g}" if account.limited else "no limit"
     burst = f"{account.burst:g}" if account.limited else ""
-    return [account.name, priority, rate, burst, index.keys_of(account.name), reasons]
+    return [
+        account.name,
+        priority,
+        rate,
+        burst,
+        index.account_key_count(account.name),
+        reasons,
+    ]
 
 
 def _as_map(account: ClientAccount, index: AccountIndex, refused: Counter) -> dict:
@@ -82,6 +89,6 @@
         "priority": account.priority,
         "rate": account.rate if account.limited else None,
         "burst": account.burst if account.limited else None,
-        "keys": index.keys_of(account.name),
+        "keys": index.account_key_count(account.name),
         "refused": dict(refused),
     }
--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -8,11 +8,11 @@
 from rattanfork_core.routes import Configuration, Route
 from rattanfork_core.rules import (
     Explanation,
-    Ruling,
+    RouteDecision,
+    apply_rule,
     explain,
-    facts_of_route,
     load_rules,
-    rule_on,
+    route_facts,
 )
 from rattanfork_platform import PlatformDownError
 from rattanfork_platform.connect import connect_platform, read_configuration
@@ -50,9 +50,9 @@
     rules = load_rules(record.text, f"revision {record.revision}")
     answers = []
     for share in route.services:
-        facts = facts_of_route(route, share.service, method, caller, data_centre, load)
+        facts = route_facts(route, share.service, method, caller, data_centre, load)
         found = explain(rules, facts)
-        answers.append((share.service, found, rule_on(route, found.rule)))
+        answers.append((share.service, found, apply_rule(route, found.rule)))
     if as_json:
         print_json(
             {
@@ -87,7 +87,7 @@
     configuration: Configuration,
     record: RulesRecord,
     route: Route,
-    answers: list[tuple[str, Explanation, Ruling]],
+    answers: list[tuple[str, Explanation, RouteDecision]],
 ) -> None:
     print(f"configuration {configuration.version}: route {route.name}")
     print(f"  {route.host}{route.prefix}, {_kind(route)}")
@@ -104,11 +104,11 @@
     return "idempotent" if route.idempotent else "not idempotent"
 
 
-def _rule(ruling: Ruling) -> str:
+def _rule(ruling: RouteDecision) -> str:
     return "no rule; the route holds" if ruling.rule == "-" else f"rule {ruling.rule}"
 
 
-def _treatment(ruling: Ruling) -> str:
+def _treatment(ruling: RouteDecision) -> str:
     if ruling.refuse_after is not None:
         return f"refused, to come back after {ruling.refuse_after:g} s"
     route = ruling.route
@@ -119,7 +119,7 @@
     )
 
 
-def _as_map(found: Explanation, ruling: Ruling) -> dict[str, object]:
+def _as_map(found: Explanation, ruling: RouteDecision) -> dict[str, object]:
     route = ruling.route
     return {
         "rule": None if ruling.rule == "-" else ruling.rule,
--- a/packages/rattanfork-cli/rattanfork_cli/commands/logs.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/logs.py
@@ -3,7 +3,7 @@
 from typing import Annotated
 
 import typer
-from rattanfork_core.trace import count_reasons, read_lines, tell_story
+from rattanfork_core.trace import count_reasons, parse_lines, trace_request
 
 from rattanfork_cli.exits import BAD_INPUT, FAILED
 from rattanfork_cli.log_files import LogFiles, log_texts, time_of_day
@@ -25,7 +25,7 @@
 
     Example: rattanfork trace 9c41d07be2a35f68 claims-1.log donors-2.log
     """
-    steps = tell_story(request_id, read_lines(log_texts(files)))
+    steps = trace_request(request_id, parse_lines(log_texts(files)))
     if not steps:
         raise fail(
             f"no line tells of {request_id!r}; it may have been left out under "
@@ -58,7 +58,7 @@
     Example: rattanfork logs summary --every 5 *.log
     """
     try:
-        counts, left_out = count_reasons(read_lines(log_texts(files)), every)
+        counts, left_out = count_reasons(parse_lines(log_texts(files)), every)
     except ValueError as error:
         raise fail(f"--every: {error}", BAD_INPUT) from None
     if as_json:
--- a/packages/rattanfork-cli/rattanfork_cli/commands/report.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/report.py
@@ -6,7 +6,7 @@
 import typer
 from rattanfork_core.burn import BurnLine, burn_report
 from rattanfork_core.rules import ObjectiveModel
-from rattanfork_core.trace import LossReport, count_losses, read_lines
+from rattanfork_core.trace import LossReport, count_losses, parse_lines
 
 from rattanfork_cli.burn_page import burn_page
 from rattanfork_cli.exits import BAD_INPUT, FAILED
@@ -88,7 +88,7 @@
     Example: rattanfork report losses --every 5 --plot losses.png *.log
     """
     try:
-        report = count_losses(read_lines(log_texts(files)), every)
+        report = count_losses(parse_lines(log_texts(files)), every)
     except ValueError as error:
         raise fail(f"--every: {error}", BAD_INPUT) from None
     if plot is not None:
--- a/packages/rattanfork-core/rattanfork_core/account/account.py
+++ b/packages/rattanfork-core/rattanfork_core/account/account.py
@@ -3,7 +3,7 @@
 from rattanfork_core.clock import Clock
 
 
-class Account:
+class RequestBudget:
     """What a request may still spend at this node.
 
     Explanation
@@ -30,10 +30,10 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> account = Account(ManualClock(), deadline=2.0, attempts=3)
-    >>> account.lend()
+    >>> account = RequestBudget(ManualClock(), deadline=2.0, attempts=3)
+    >>> account.delegate()
     2
-    >>> account.take_back(lent=2, unused=9)
+    >>> account.reclaim(lent=2, unused=9)
     >>> account.attempts
     3
     """
@@ -72,7 +72,7 @@
         self._attempts -= 1
         return True
 
-    def lend(self) -> int:
+    def delegate(self) -> int:
         """Take out the share for one deeper call: half, rounded up.
 
         The other half stays for a retry at this hop, should the call and
@@ -82,7 +82,7 @@
         self._attempts -= share
         return share
 
-    def take_back(self, lent: int, unused: int) -> None:
+    def reclaim(self, lent: int, unused: int) -> None:
         """Return what a deeper call did not use of its share."""
         # A reply may be malformed or doubled by a faulty peer: tokens beyond
         # the loan would let the tree grow more retries than its root allowed.
--- a/packages/rattanfork-core/rattanfork_core/account/budget.py
+++ b/packages/rattanfork-core/rattanfork_core/account/budget.py
@@ -3,7 +3,7 @@
 from rattanfork_core.clock import Clock
 
 
-class RetryBudget:
+class CallerRetryBudget:
     """Retries allowed to one caller or towards one service.
 
     Explanation
@@ -31,7 +31,7 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> budget = RetryBudget(ManualClock(), fraction=0.5, trickle=0, burst=1)
+    >>> budget = CallerRetryBudget(ManualClock(), fraction=0.5, trickle=0, burst=1)
     >>> budget.spend(), budget.spend()
     (True, False)
     >>> budget.earn(); budget.earn()
--- a/packages/rattanfork-core/rattanfork_core/account/callers.py
+++ b/packages/rattanfork-core/rattanfork_core/account/callers.py
@@ -2,12 +2,12 @@
 
 from collections import OrderedDict
 
-from rattanfork_core.account.budget import RetryBudget
+from rattanfork_core.account.budget import CallerRetryBudget
 from rattanfork_core.account.rate import RateLimit
 from rattanfork_core.clock import Clock
 
 
-class CallerBook:
+class CallerTable:
     """Retry budgets, rate limits and recent request IDs, in bounded memory.
 
     Explanation
@@ -30,11 +30,11 @@
     def __init__(self, clock: Clock, most: int = 20_000) -> None:
         self._clock = clock
         self._most = most
-        self._budgets: OrderedDict[str, RetryBudget] = OrderedDict()
+        self._budgets: OrderedDict[str, CallerRetryBudget] = OrderedDict()
         self._limits: OrderedDict[tuple[str, str], RateLimit] = OrderedDict()
         self._recent: OrderedDict[str, tuple[str, int]] = OrderedDict()
 
-    def arrive(self, request_id: str, caller: str) -> int | None:
+    def count_attempt(self, request_id: str, caller: str) -> int | None:
         """Return the number of this attempt, or None for another's ID."""
         known = self._recent.get(request_id)
         if known is None:
@@ -48,17 +48,17 @@
         self._recent[request_id] = (caller, attempts + 1)
         return attempts + 1
 
-    def budget(self, name: str) -> RetryBudget:
+    def retry_budget(self, name: str) -> CallerRetryBudget:
         """Return the retry budget of a caller or a target."""
         budget = self._budgets.get(name)
         if budget is None:
-            budget = RetryBudget(self._clock)
+            budget = CallerRetryBudget(self._clock)
             self._budgets[name] = budget
             if len(self._budgets) > self._most:
                 self._budgets.popitem(last=False)
         return budget
 
-    def limit(self, rule: str, caller: str, rate: float) -> RateLimit:
+    def rate_limit(self, rule: str, caller: str, rate: float) -> RateLimit:
         """Return the rate limit of a rule, for one caller or "" for all."""
         key = (f"{rule}:{rate:g}", caller)
         limit = self._limits.get(key)
--- a/packages/rattanfork-core/rattanfork_core/account/context.py
+++ b/packages/rattanfork-core/rattanfork_core/account/context.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rattanfork_core.account.account import Account
+from rattanfork_core.account.account import RequestBudget
 from rattanfork_core.request.importance import Importance
 
 
@@ -29,15 +29,15 @@
     caller: str
     importance: Importance
     operation: str
-    account: Account
-    deep_cut: float
-    refused_retry_after: float = 0.0
-    cancels: dict[int, Callable[[], None]] = field(default_factory=dict)
+    account: RequestBudget
+    downstream_threshold: float
+    downstream_retry_after: float = 0.0
+    cancel_callbacks: dict[int, Callable[[], None]] = field(default_factory=dict)
     ended: bool = False
 
-    def hear_cut(self, cut: float) -> None:
+    def on_threshold(self, cut: float) -> None:
         """Take in the threshold of a deeper service."""
-        self.deep_cut = min(self.deep_cut, cut)
+        self.downstream_threshold = min(self.downstream_threshold, cut)
 
     def end(self) -> int:
         """End the run and stop its children; return how many were stopped.
@@ -46,8 +46,8 @@
         capacity from the deeper services.
         """
         self.ended = True
-        cancels = list(self.cancels.values())
-        self.cancels.clear()
+        cancels = list(self.cancel_callbacks.values())
+        self.cancel_callbacks.clear()
         for cancel in cancels:
             cancel()
         return len(cancels)
--- a/packages/rattanfork-core/rattanfork_core/account/grants.py
+++ b/packages/rattanfork-core/rattanfork_core/account/grants.py
@@ -1,6 +1,6 @@
 """Repeats that the gate of a service grants to those who call it."""
 
-from rattanfork_core.account.repeats import RepeatBudget
+from rattanfork_core.account.repeats import ServiceRetryBudget
 from rattanfork_core.clock import Clock
 
 #: Part of the repeats allowed by a gate's arrivals that is granted.  The rest covers
@@ -11,7 +11,7 @@
 _GRANTED_EXTRA = 0.75
 
 
-class RepeatGrants:
+class GateRetryBudget:
     """Repeated arrivals that one gate grants, as its part of its service's bound.
 
     Explanation
@@ -42,7 +42,7 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> grants = RepeatGrants(ManualClock(), ratio=0.2, extra=0, window=10)
+    >>> grants = GateRetryBudget(ManualClock(), ratio=0.2, extra=0, window=10)
     >>> for _ in range(10):
     ...     grants.count_request()
     >>> grants.grant(2.5), grants.grant(2.5)
@@ -54,7 +54,7 @@
     def __init__(self, clock: Clock, ratio: float, extra: float, window: float) -> None:
         self._extra = extra * _GRANTED_EXTRA
         self._gates = 1
-        self._budget = RepeatBudget(clock, ratio * _GRANTED, self._extra, window)
+        self._budget = ServiceRetryBudget(clock, ratio * _GRANTED, self._extra, window)
 
     @property
     def allowed(self) -> float:
@@ -66,7 +66,7 @@
         """Repeats in the window that ends now."""
         return self._budget.spent
 
-    def share_among(self, gates: int) -> None:
+    def set_gate_count(self, gates: int) -> None:
         """Take note of how many gates the service has."""
         if gates != self._gates:
             self._gates = max(1, gates)
@@ -76,17 +76,17 @@
         """Count a request that arrives for the first time."""
         self._budget.count_request()
 
-    def count_repeat(self) -> None:
+    def count_retry(self) -> None:
         """Count a call that a repeated run makes again; nobody can decide on it."""
-        self._budget.count_repeat()
+        self._budget.count_retry()
 
     def grant(self, rank: float) -> bool:
         """Return whether a request of a rank may arrive once more."""
         return self._budget.spend(rank)
 
-    def take_back(self) -> None:
+    def refund(self) -> None:
         """Take back a grant: the request was not handed over after all."""
-        self._budget.take_back()
+        self._budget.refund()
 
     def on_attempt(self, lost: bool) -> None:
         """Count an arrival, and whether it came to nothing."""
--- a/packages/rattanfork-core/rattanfork_core/account/hop.py
+++ b/packages/rattanfork-core/rattanfork_core/account/hop.py
@@ -1,9 +1,9 @@
 """An account whose extra attempts stay at this hop."""
 
-from rattanfork_core.account.account import Account
+from rattanfork_core.account.account import RequestBudget
 
 
-class HopAccount(Account):
+class LocalRequestBudget(RequestBudget):
     """An account that lends nothing to deeper calls.
 
     Explanation
@@ -18,13 +18,13 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> account = HopAccount(ManualClock(), deadline=2.0, attempts=1)
-    >>> account.lend(), account.attempts
+    >>> account = LocalRequestBudget(ManualClock(), deadline=2.0, attempts=1)
+    >>> account.delegate(), account.attempts
     (0, 1)
     """
 
     __slots__ = ()
 
-    def lend(self) -> int:
+    def delegate(self) -> int:
         """Lend nothing."""
         return 0
--- a/packages/rattanfork-core/rattanfork_core/account/repeats.py
+++ b/packages/rattanfork-core/rattanfork_core/account/repeats.py
@@ -1,6 +1,6 @@
 """Bound on the repeated arrivals of one service."""
 
-from rattanfork_core.account.wants import RepeatWants
+from rattanfork_core.account.wants import RetryDemand
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.importance import RANK_LIMIT, Importance
 
@@ -20,7 +20,7 @@
 _LONGEST_SPREAD = 0.6
 
 
-class RepeatBudget:
+class ServiceRetryBudget:
     """Repeats that one node may add to the arrivals of a service.
 
     Explanation
@@ -62,7 +62,7 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> budget = RepeatBudget(ManualClock(), ratio=0.5, extra=0, window=10)
+    >>> budget = ServiceRetryBudget(ManualClock(), ratio=0.5, extra=0, window=10)
     >>> for _ in range(40):
     ...     budget.count_request()
     >>> [budget.spend(2.5) for _ in range(3)], budget.spent
@@ -94,7 +94,7 @@
         self._requests = [0] * (2 * _PARTS)
         self._repeats = [0] * (_PARTS + 1)
         self._share_lost = 0.0
-        self._wants = RepeatWants(clock)
+        self._wants = RetryDemand(clock)
 
     @property
     def allowed(self) -> float:
@@ -115,17 +115,17 @@
         return sum(self._repeats)
 
     @property
-    def carried(self) -> float:
+    def rank_cutoff(self) -> float:
         """Rank below which all repeats that are wanted are granted."""
-        if not self._wants.seen:
+        if not self._wants.any_recent:
             return float(RANK_LIMIT)
         # The repeats that one call needs until it gets through.
         needed = self._share_lost / max(1e-3, 1.0 - self._share_lost)
         spread = min(_LONGEST_SPREAD, max(_SHORTEST_SPREAD, needed))
-        carried = self._wants.rank_within(self._pace(spread))
+        carried = self._wants.rank_at_rate(self._pace(spread))
         if carried >= _IMPORTANT or spread <= _IMPORTANT_SPREAD:
             return carried
-        important = self._wants.rank_within(self._pace(_IMPORTANT_SPREAD))
+        important = self._wants.rank_at_rate(self._pace(_IMPORTANT_SPREAD))
         return max(carried, min(important, _IMPORTANT))
 
     def count_request(self) -> None:
@@ -133,7 +133,7 @@
         self._move()
         self._requests[0] += 1
 
-    def count_repeat(self) -> None:
+    def count_retry(self) -> None:
         """Count a repeat that nobody could decide on."""
         self._move()
         self._repeats[0] += 1
@@ -145,12 +145,12 @@
     def spend(self, rank: float) -> bool:
         """Take one repeat for a request of a rank, if it is carried."""
         self._wants.add(rank)
-        if self.spent + 1 > self.allowed or rank >= self.carried:
+        if self.spent + 1 > self.allowed or rank >= self.rank_cutoff:
             return False
         self._repeats[0] += 1
         return True
 
-    def take_back(self) -> None:
+    def refund(self) -> None:
         """Give back a repeat that did not arrive after all."""
         self._move()
         for part, count in enumerate(self._repeats):
--- a/packages/rattanfork-core/rattanfork_core/account/tests/test_grants.py
+++ b/packages/rattanfork-core/rattanfork_core/account/tests/test_grants.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import RepeatGrants
+from rattanfork_core.account import GateRetryBudget
 from rattanfork_core.clock import ManualClock
 
 RATIO, EXTRA, WINDOW = 0.2, 20.0, 10.0
@@ -46,14 +46,14 @@
         )
         return repeats <= RATIO * most + EXTRA
 
-    def _gate(self, gates: int) -> RepeatGrants:
-        grants = RepeatGrants(self.clock, RATIO, EXTRA, WINDOW)
-        grants.share_among(gates)
+    def _gate(self, gates: int) -> GateRetryBudget:
+        grants = GateRetryBudget(self.clock, RATIO, EXTRA, WINDOW)
+        grants.set_gate_count(gates)
         return grants
 
     def _share(self) -> None:
         for gate in self.gates:
-            gate.share_among(len(self.gates))
+            gate.set_gate_count(len(self.gates))
 
 
 def _between(times: deque[float], after: float, until: float) -> int:
@@ -108,10 +108,10 @@
 
 def test_a_grant_that_was_not_used_comes_back():
     """A repeat is granted, and the gate's queue has no room for it."""
-    grants = RepeatGrants(ManualClock(), RATIO, 0.0, WINDOW)
+    grants = GateRetryBudget(ManualClock(), RATIO, 0.0, WINDOW)
     for _ in range(6):
         grants.count_request()
     assert grants.grant(1.5)
     assert not grants.grant(1.5)
-    grants.take_back()
+    grants.refund()
     assert grants.grant(1.5)
--- a/packages/rattanfork-core/rattanfork_core/account/tests/test_repeats.py
+++ b/packages/rattanfork-core/rattanfork_core/account/tests/test_repeats.py
@@ -4,13 +4,13 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import RepeatBudget
+from rattanfork_core.account import ServiceRetryBudget
 from rattanfork_core.clock import ManualClock
 
 
-def busy(clock: ManualClock, extra: float = 0.0) -> RepeatBudget:
+def busy(clock: ManualClock, extra: float = 0.0) -> ServiceRetryBudget:
     """Return the budget of a service that gets 100 requests a second."""
-    budget = RepeatBudget(clock, ratio=0.2, extra=extra, window=10)
+    budget = ServiceRetryBudget(clock, ratio=0.2, extra=extra, window=10)
     for _ in range(1000):
         budget.count_request()
         clock.advance(0.01)
@@ -108,7 +108,7 @@
 )
 def test_no_window_holds_more_than_its_share(steps):
     clock = ManualClock()
-    budget = RepeatBudget(clock, ratio=0.2, extra=3, window=10)
+    budget = ServiceRetryBudget(clock, ratio=0.2, extra=3, window=10)
     requests: list[float] = []
     repeats: list[float] = []
     for kind, pause in steps:
@@ -127,7 +127,7 @@
 @given(st.floats(0, 100))
 def test_an_empty_budget_allows_its_extra_only(pause):
     clock = ManualClock()
-    budget = RepeatBudget(clock, ratio=0.2, extra=2, window=10)
+    budget = ServiceRetryBudget(clock, ratio=0.2, extra=2, window=10)
     clock.advance(pause)
     spent = []
     for _ in range(3):
--- a/packages/rattanfork-core/rattanfork_core/account/wants.py
+++ b/packages/rattanfork-core/rattanfork_core/account/wants.py
@@ -14,7 +14,7 @@
 _STEP = 0.05
 
 
-class RepeatWants:
+class RetryDemand:
     """Rate of the repeats that are wanted, by rank, averaged over a short time.
 
     Parameters
@@ -28,12 +28,12 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> wants = RepeatWants(clock)
+    >>> wants = RetryDemand(clock)
     >>> for _ in range(200):
     ...     clock.advance(0.05)
     ...     wants.add(0.5)
     ...     wants.add(2.5)
-    >>> round(wants.rank_within(30.0), 1)
+    >>> round(wants.rank_at_rate(30.0), 1)
     2.5
     """
 
@@ -45,7 +45,7 @@
         self._then = clock.now()
 
     @property
-    def seen(self) -> bool:
+    def any_recent(self) -> bool:
         """Whether anything was wanted lately."""
         self._fade()
         return any(self._counts)
@@ -56,7 +56,7 @@
         place = min(len(self._counts) - 1, int(rank * _PER_LEVEL))
         self._counts[place] += 1.0 / _MEMORY
 
-    def rank_within(self, rate: float) -> float:
+    def rank_at_rate(self, rate: float) -> float:
         """Return the rank below which no more than a rate is wanted in a second.
 
         Within the part that fits in part, ranks are taken to be spread evenly,
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/__init__.py
@@ -1,9 +1,9 @@
 """At most once: keys that one guard alone may run, and proofs of not run."""
 
-from rattanfork_core.atmostonce.connection import ConnectionLedger
-from rattanfork_core.atmostonce.ledger import RunLedger
+from rattanfork_core.atmostonce.connection import ConnectionCallLog
+from rattanfork_core.atmostonce.ledger import KeyRegistry
 from rattanfork_core.atmostonce.record import RunRecord, RunState
-from rattanfork_core.atmostonce.ticket import Ticket, TicketError, TicketMint
+from rattanfork_core.atmostonce.ticket import Ticket, TicketError, TicketIssuer
 from rattanfork_core.atmostonce.verdicts import (
     AlreadyAnswered,
     JoinRunning,
@@ -13,14 +13,14 @@
 
 __all__ = [
     "AlreadyAnswered",
-    "ConnectionLedger",
+    "ConnectionCallLog",
     "JoinRunning",
     "RefuseKey",
-    "RunLedger",
+    "KeyRegistry",
     "RunNow",
     "RunRecord",
     "RunState",
     "Ticket",
     "TicketError",
-    "TicketMint",
+    "TicketIssuer",
 ]
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/connection.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/connection.py
@@ -6,7 +6,7 @@
 from rattanfork_core.request.result import FenceVerdict
 
 
-class ConnectionLedger:
+class ConnectionCallLog:
     """Tells which calls of a connection were handed to the upstream.
 
     Explanation
@@ -27,8 +27,8 @@
     Examples
     ========
 
-    >>> ledger = ConnectionLedger()
-    >>> ledger.arrive(1), ledger.arrive(1)
+    >>> ledger = ConnectionCallLog()
+    >>> ledger.accept(1), ledger.accept(1)
     (True, False)
     >>> ledger.hand_over(1)
     True
@@ -50,7 +50,7 @@
         """Whether calls of this connection are refused."""
         return self._fenced
 
-    def arrive(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Take in a call; False for a copy of one that was taken before."""
         if number <= self._last:
             return False
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/ledger.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/ledger.py
@@ -19,7 +19,7 @@
 _EPOCHS_KEPT = 2
 
 
-class RunLedger:
+class KeyRegistry:
     """Decides, for one incarnation of one guard, which keys run.
 
     Explanation
@@ -58,14 +58,14 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> ledger = RunLedger(ManualClock(), "claims-1", "b1")
+    >>> ledger = KeyRegistry(ManualClock(), "claims-1", "b1")
     >>> ticket = Ticket("claims", "claims-1", "b1", ledger.epoch, 7)
-    >>> verdict = ledger.arrive("k", ticket, "clerk", 99)
+    >>> verdict = ledger.on_request("k", ticket, "clerk", 99)
     >>> ledger.hand_over(verdict.record)
     True
     >>> ledger.fence("k", ticket)
     <FenceVerdict.HANDED_OVER: 1>
-    >>> ledger.arrive("k", ticket, "another", 99).reason
+    >>> ledger.on_request("k", ticket, "another", 99).reason
     <Reason.KEY_MISUSED: 15>
 
     See Also
@@ -101,16 +101,16 @@
         return self._epoch
 
     @property
-    def remembered(self) -> int:
+    def key_count(self) -> int:
         """Keys remembered."""
         return sum(len(records) for records in self._epochs.values())
 
     @property
-    def kept_size(self) -> int:
+    def stored_answer_bytes(self) -> int:
         """Bytes of answers kept."""
         return self._kept_size
 
-    def arrive(self, key: str, ticket: Ticket, caller: str, digest: int) -> Verdict:
+    def on_request(self, key: str, ticket: Ticket, caller: str, digest: int) -> Verdict:
         """Take in a request with a key.
 
         Parameters
@@ -169,12 +169,12 @@
             record.state = RunState.FENCED
         return record.state is RunState.FENCED
 
-    def retract(self, record: RunRecord) -> None:
+    def cancel_hand_over(self, record: RunRecord) -> None:
         """Take back a hand-over that provably did not take place."""
         if record.state is RunState.HANDED_OVER:
             record.state = RunState.FENCED
 
-    def answer(self, record: RunRecord, result: CallResult) -> None:
+    def store_answer(self, record: RunRecord, result: CallResult) -> None:
         """Keep the upstream's answer for repeats of the key."""
         record.state = RunState.ANSWERED
         record.result = result
@@ -184,7 +184,7 @@
             _, oldest = self._kept.popitem(last=False)
             self._forget_answer(oldest)
 
-    def lose(self, record: RunRecord) -> None:
+    def on_connection_lost(self, record: RunRecord) -> None:
         """Take note that the upstream's connection broke during the run."""
         if record.state is RunState.HANDED_OVER:
             record.state = RunState.LOST
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/tests/test_ledger.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/tests/test_ledger.py
@@ -10,8 +10,8 @@
 from rattanfork_core.atmostonce import (
     AlreadyAnswered,
     JoinRunning,
+    KeyRegistry,
     RefuseKey,
-    RunLedger,
     RunNow,
     Ticket,
 )
@@ -45,7 +45,7 @@
 
     def replace_guard(self) -> None:
         self.boots += 1
-        self.ledger = RunLedger(
+        self.ledger = KeyRegistry(
             self.clock, "g", f"b{self.boots}", epoch_seconds=10, epoch_keys=4
         )
         # Runs under way go on at the upstream, but nothing is handed over
@@ -61,7 +61,7 @@
     @rule(ticket=keys, caller=st.sampled_from(CALLERS))
     def arrive(self, ticket, caller):
         key = repr(ticket)
-        verdict = self.ledger.arrive(key, ticket, caller, 1)
+        verdict = self.ledger.on_request(key, ticket, caller, 1)
         if isinstance(verdict, RunNow):
             self.waiting.append(verdict.record)
         elif isinstance(verdict, RefuseKey):
@@ -94,10 +94,10 @@
             record = self.running.pop(data.draw(st.integers(0, len(self.running) - 1)))
             body = f"{record.key} for {record.caller}".encode()
             if lost:
-                self.ledger.lose(record)
+                self.ledger.on_connection_lost(record)
             else:
                 result = CallResult(Outcome.ANSWERED, status=200, body=body)
-                self.ledger.answer(record, result)
+                self.ledger.store_answer(record, result)
 
     @rule(ticket=keys)
     def fence(self, ticket):
@@ -123,39 +123,41 @@
 
     @invariant()
     def memory_is_bounded(self):
-        assert self.ledger.remembered <= 4 * 4
+        assert self.ledger.key_count <= 4 * 4
 
 
 TestAtMostOnce = AtMostOnce.TestCase
 
 
-def ledger() -> RunLedger:
-    return RunLedger(ManualClock(), "g", "b", kept_bytes=100)
+def ledger() -> KeyRegistry:
+    return KeyRegistry(ManualClock(), "g", "b", kept_bytes=100)
 
 
-def ticket(held: RunLedger, n: int) -> Ticket:
+def ticket(held: KeyRegistry, n: int) -> Ticket:
     return Ticket("claims", "g", "b", held.epoch, n)
 
 
 def test_an_answer_no_longer_kept_is_not_run_again():
     held = ledger()
     for n in range(3):
-        verdict = held.arrive(f"k{n}", ticket(held, n), "clerk", 1)
+        verdict = held.on_request(f"k{n}", ticket(held, n), "clerk", 1)
         held.hand_over(verdict.record)
-        held.answer(verdict.record, CallResult(Outcome.ANSWERED, body=b"x" * 60))
-    repeat = held.arrive("k0", ticket(held, 0), "clerk", 1)
+        held.store_answer(verdict.record, CallResult(Outcome.ANSWERED, body=b"x" * 60))
+    repeat = held.on_request("k0", ticket(held, 0), "clerk", 1)
     assert repeat.reason is Reason.ANSWER_DROPPED
-    assert held.kept_size <= 100
+    assert held.stored_answer_bytes <= 100
 
 
 def test_another_body_under_the_same_key_is_refused():
     held = ledger()
-    held.arrive("k", ticket(held, 1), "clerk", 1)
-    assert held.arrive("k", ticket(held, 1), "clerk", 2).reason is Reason.KEY_MISUSED
+    held.on_request("k", ticket(held, 1), "clerk", 1)
+    assert (
+        held.on_request("k", ticket(held, 1), "clerk", 2).reason is Reason.KEY_MISUSED
+    )
 
 
 def test_a_key_of_an_earlier_incarnation_is_never_run():
     held = ledger()
     old = Ticket("claims", "g", "before", 1, 1)
-    assert held.arrive("k", old, "clerk", 1).reason is Reason.KEY_EXPIRED
+    assert held.on_request("k", old, "clerk", 1).reason is Reason.KEY_EXPIRED
     assert held.fence("k", old) is FenceVerdict.UNKNOWN
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/ticket.py
+++ b/packages/rattanfork-core/rattanfork_core/atmostonce/ticket.py
@@ -10,7 +10,7 @@
 _MAC_BYTES = 12
 _NONCE_BITS = 80
 #: Longest key taken, in characters.
-LONGEST_TICKET = 400
+MAX_TICKET_LENGTH = 400
 
 
 class TicketError(ValueError):
@@ -44,7 +44,7 @@
     nonce: int
 
 
-class TicketMint:
+class TicketIssuer:
     """Issues and reads tickets.
 
     Explanation
@@ -65,11 +65,11 @@
     Examples
     ========
 
-    >>> mint = TicketMint(b"secret", Random(1))
+    >>> mint = TicketIssuer(b"secret", Random(1))
     >>> text = mint.issue("claims", "claims-1", "b1", 4)
-    >>> mint.read(text).instance
+    >>> mint.parse(text).instance
     'claims-1'
-    >>> mint.read("bogus")
+    >>> mint.parse("bogus")
     Traceback (most recent call last):
     ...
     rattanfork_core.atmostonce.ticket.TicketError: not a key of this system
@@ -85,7 +85,7 @@
         body = msgpack.packb((service, instance, boot, epoch, nonce))
         return urlsafe_b64encode(body + self._mac(body)).decode().rstrip("=")
 
-    def read(self, text: str) -> Ticket:
+    def parse(self, text: str) -> Ticket:
         """Return the ticket of a text.
 
         Raises
@@ -94,7 +94,7 @@
         TicketError
             If the text is not a ticket of this system.
         """
-        if len(text) > LONGEST_TICKET:
+        if len(text) > MAX_TICKET_LENGTH:
             raise TicketError("not a key of this system")
         try:
             raw = urlsafe_b64decode(text + "=" * (-len(text) % 4))
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/findings.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/findings.py
@@ -13,7 +13,7 @@
 _LONGEST_KEY = 1024
 
 
-def account_findings(
+def validate_accounts(
     accounts: Mapping[ClientAccount, Sequence[str]],
 ) -> list[str]:
     """Return what is wrong with accounts and their keys, each with its place.
@@ -29,9 +29,9 @@
     Examples
     ========
 
-    >>> account_findings({ClientAccount("a"): ["k1"], ClientAccount("b"): ["k1"]})
+    >>> validate_accounts({ClientAccount("a"): ["k1"], ClientAccount("b"): ["k1"]})
     ['b.keys[0]: is also a key of a']
-    >>> account_findings({ClientAccount("a", rate=-1.0): [""]})
+    >>> validate_accounts({ClientAccount("a", rate=-1.0): [""]})
     ['a.rate: not a number from 0 on', 'a.keys[0]: empty']
     """
     findings = []
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/index.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/index.py
@@ -51,11 +51,11 @@
         return self._accounts
 
     @property
-    def keys(self) -> int:
+    def key_count(self) -> int:
         """How many keys there are."""
         return len(self._by_digest)
 
-    def keys_of(self, name: str) -> int:
+    def account_key_count(self, name: str) -> int:
         """Return how many keys an account has; 0 for one that is not known."""
         return self._key_counts.get(name, 0)
 
@@ -68,7 +68,7 @@
         return self._accounts.get(name)
 
     def __repr__(self) -> str:
-        return f"AccountIndex({len(self._accounts)} accounts, {self.keys} keys)"
+        return f"AccountIndex({len(self._accounts)} accounts, {self.key_count} keys)"
 
     def _digest(self, key: bytes) -> bytes:
         digest = self._salted.copy()
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/tests/test_client_accounts.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/tests/test_client_accounts.py
@@ -6,7 +6,7 @@
 from rattanfork_core.client_accounts import (
     AccountIndex,
     ClientAccount,
-    account_findings,
+    validate_accounts,
 )
 
 
@@ -15,7 +15,7 @@
     index = AccountIndex({clerks: ["a1", "a2"], auditors: ["b1"]})
     assert index.find(b"a1") is index.find(b"a2") is clerks
     assert index.find(b"b1") is auditors
-    assert index.keys == 3
+    assert index.key_count == 3
 
 
 @pytest.mark.parametrize("key", [b"", b"a", b"a11", b"A1", b" a1", b"a1\x00"])
@@ -32,33 +32,33 @@
 
 def test_key_of_two_accounts_is_found_with_its_place():
     first, second = ClientAccount("a"), ClientAccount("b")
-    findings = account_findings({first: ["k1", "k2"], second: ["k3", "k1"]})
+    findings = validate_accounts({first: ["k1", "k2"], second: ["k3", "k1"]})
     assert findings == ["b.keys[1]: is also a key of a"]
 
 
 def test_key_twice_in_one_account_is_no_finding():
-    assert account_findings({ClientAccount("a"): ["k1", "k1"]}) == []
+    assert validate_accounts({ClientAccount("a"): ["k1", "k1"]}) == []
 
 
 @pytest.mark.parametrize("figure", [-1.0, nan, inf])
 def test_rate_that_is_no_limit_is_found(figure):
     account = ClientAccount("a", rate=figure)
-    assert account_findings({account: []}) == ["a.rate: not a number from 0 on"]
+    assert validate_accounts({account: []}) == ["a.rate: not a number from 0 on"]
 
 
 @pytest.mark.parametrize("name", ["", " a", "a\r\nb", "ü", "x" * 201])
 def test_name_that_can_not_travel_in_a_header_is_found(name):
-    [finding] = account_findings({ClientAccount(name): []})
+    [finding] = validate_accounts({ClientAccount(name): []})
     assert finding.endswith("not a name of an account")
 
 
 @pytest.mark.parametrize("key", ["", "k\n", "ü", "x" * 1025])
 def test_key_that_no_header_can_carry_is_found_and_not_shown(key):
-    [finding] = account_findings({ClientAccount("a"): [key]})
+    [finding] = validate_accounts({ClientAccount("a"): [key]})
     assert finding.startswith("a.keys[0]: ")
     assert not key or key not in finding
 
 
 def test_all_findings_are_reported_together():
     wrong = {ClientAccount("a", rate=-1.0): [""], ClientAccount("b", burst=nan): [""]}
-    assert len(account_findings(wrong)) == 4
+    assert len(validate_accounts(wrong)) == 4
--- a/packages/rattanfork-core/rattanfork_core/clock/boot.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/boot.py
@@ -9,13 +9,13 @@
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-class BootClock(Clock):
+class BootTimeClock(Clock):
     """Seconds since the machine started, those in which it was suspended too.
 
     Examples
     ========
 
-    >>> clock = BootClock()
+    >>> clock = BootTimeClock()
     >>> clock.now() <= clock.now()
     True
     """
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -13,7 +13,7 @@
 from itertools import count
 from random import Random
 
-from rattanfork_core.account import RepeatBudget, RepeatGrants
+from rattanfork_core.account import GateRetryBudget, ServiceRetryBudget
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -136,8 +136,8 @@
         )
         self.calls: dict[int, tuple[Call, Callable]] = {}
         self.keys = count()
-        self.grants = RepeatGrants(fleet.clock, RATIO, EXTRA, WINDOW)
-        self.grants.share_among(DEEP_GATES)
+        self.grants = GateRetryBudget(fleet.clock, RATIO, EXTRA, WINDOW)
+        self.grants.set_gate_count(DEEP_GATES)
 
     def offer(self, call: Call, done: Callable) -> None:
         """Take a call; ``done`` gets what became of it."""
@@ -204,7 +204,7 @@
         self.early = EarlyShedder(fleet.clock)
         self.deeper = EarlyShedder(fleet.clock)
         share = 0.75 * EXTRA / fleet.size
-        self.budget = RepeatBudget(fleet.clock, 0.9 * RATIO, share, WINDOW)
+        self.budget = ServiceRetryBudget(fleet.clock, 0.9 * RATIO, share, WINDOW)
         self.picker = InstancePicker(name, "dc", fleet.clock, fleet.random)
         for kind in SURGE:
             self.reach.record_run(kind.name, [DEEP] if kind.service == UPPER else [])
--- a/packages/rattanfork-core/rattanfork_core/objectives/routes.py
+++ b/packages/rattanfork-core/rattanfork_core/objectives/routes.py
@@ -20,7 +20,7 @@
     caller gave up counts as neither.  Calls between services don't count:
     the objective is on whole requests.
 
-    Counting a request raises one number; :meth:`roll` moves the numbers into
+    Counting a request raises one number; :meth:`flush` moves the numbers into
     the windows once a second, which costs less than three windows a request.
 
     Parameters
@@ -36,7 +36,7 @@
     >>> objectives = RouteObjectives(ManualClock())
     >>> objectives.add("lookup", good=True)
     >>> objectives.add("lookup", good=False)
-    >>> objectives.roll()
+    >>> objectives.flush()
     >>> objectives.totals()
     [('lookup', ((1, 1), (1, 1), (1, 1)))]
     """
@@ -53,7 +53,7 @@
             counts = self._fresh[route] = [0, 0]
         counts[0 if good else 1] += 1
 
-    def roll(self) -> None:
+    def flush(self) -> None:
         """Move what was counted into the windows; call about once a second."""
         fresh, self._fresh = self._fresh, {}
         for route, (good, bad) in fresh.items():
--- a/packages/rattanfork-core/rattanfork_core/request/state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.request.attempt import Attempt, AttemptState
 from rattanfork_core.request.commands import (
     Command,
@@ -41,7 +41,7 @@
     Parameters
     ==========
 
-    account : Account
+    account : RequestBudget
         Deadline and extra attempts.
     idempotent : bool
         Whether running twice does no harm.
@@ -62,7 +62,7 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> account = Account(clock, deadline=1.0, attempts=1)
+    >>> account = RequestBudget(clock, deadline=1.0, attempts=1)
     >>> machine = RequestStateMachine(account, True, lambda avoid: "w1")
     >>> machine.start()
     [SendCall(attempt=1, instance='w1', lent_attempts=1)]
@@ -73,12 +73,12 @@
     See Also
     ========
 
-    rattanfork_core.atmostonce.RunLedger : answers the fences.
+    rattanfork_core.idempotency.KeyRegistry : answers the fences.
     """
 
     def __init__(
         self,
-        account: Account,
+        account: RequestBudget,
         idempotent: bool,
         pick: Picker,
         pinned: str | None = None,
@@ -119,7 +119,7 @@
             # Late: the attempt was fenced or the caller has its answer.  What
             # the attempt had left was written off, and is not given out again.
             return []
-        self._account.take_back(attempt.lent_attempts, result.unused_attempts)
+        self._account.reclaim(attempt.lent_attempts, result.unused_attempts)
         if result.outcome is Outcome.ANSWERED:
             attempt.state = AttemptState.ANSWERED
             return self._finish(result)
@@ -229,7 +229,7 @@
         instance = self._pinned or self._pick(self._avoid)
         if instance is None:
             return self._finish(self._judge(otherwise))
-        lent = self._account.lend()
+        lent = self._account.delegate()
         attempt = Attempt(len(self._attempts) + 1, instance, lent)
         self._attempts.append(attempt)
         return [SendCall(attempt.number, instance, lent)]
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import (
     AttemptState,
@@ -24,7 +24,7 @@
     def pick(avoid):
         return next((i for i in INSTANCES if i not in avoid), None)
 
-    account = Account(ManualClock(), 9.0, attempts)
+    account = RequestBudget(ManualClock(), 9.0, attempts)
     return RequestStateMachine(account, idempotent, pick, pinned)
 
 
@@ -89,7 +89,7 @@
 
 
 def test_no_instance_is_proved_not_run():
-    account = Account(ManualClock(), 9.0, 2)
+    account = RequestBudget(ManualClock(), 9.0, 2)
     request = RequestStateMachine(account, False, lambda avoid: None)
     [finish] = request.start()
     assert finish.result.outcome is Outcome.NOT_RUN
@@ -156,7 +156,7 @@
     run; given up, the call would fail all that was done above it.
     """
     machine = RequestStateMachine(
-        Account(ManualClock(), deadline=9.0, attempts=0),
+        RequestBudget(ManualClock(), deadline=9.0, attempts=0),
         False,
         lambda avoid: None if "a" in avoid else "a",
         free_retries=2,
@@ -172,7 +172,7 @@
 
 def test_a_guard_that_refuses_is_not_asked_again():
     machine = RequestStateMachine(
-        Account(ManualClock(), deadline=9.0, attempts=0),
+        RequestBudget(ManualClock(), deadline=9.0, attempts=0),
         True,
         lambda avoid: None if "a" in avoid else "a",
         free_retries=2,
--- a/packages/rattanfork-core/rattanfork_core/rules/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/__init__.py
@@ -14,7 +14,7 @@
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.finding import Finding, FindingsError
 from rattanfork_core.rules.load import load_rules
-from rattanfork_core.rules.on_route import Ruling, facts_of_route, rule_on
+from rattanfork_core.rules.on_route import RouteDecision, apply_rule, route_facts
 from rattanfork_core.rules.rule import Rule
 from rattanfork_core.rules.ruleset import RuleSet
 from rattanfork_core.rules.yaml_place import load_yaml_model
@@ -33,12 +33,12 @@
     "RuleModel",
     "RuleSet",
     "RulesDocument",
-    "Ruling",
+    "RouteDecision",
     "explain",
-    "facts_of_route",
+    "route_facts",
     "load_rules",
     "load_yaml_model",
     "move_rule",
     "retire_rule",
-    "rule_on",
+    "apply_rule",
 ]
--- a/packages/rattanfork-core/rattanfork_core/rules/condition.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/condition.py
@@ -28,13 +28,13 @@
         return cls(exact, tuple(compile_pattern(translate(name)) for name in wild))
 
     @property
-    def open(self) -> bool:
+    def matches_all(self) -> bool:
         """Whether everything matches."""
         return not self.exact and not self.patterns
 
-    def holds(self, name: str) -> bool:
+    def matches(self, name: str) -> bool:
         """Return whether the name matches."""
-        if name in self.exact or self.open:
+        if name in self.exact or self.matches_all:
             return True
         return any(pattern.match(name) for pattern in self.patterns)
 
@@ -47,9 +47,9 @@
     ========
 
     >>> condition = Condition.of(ConditionModel(service=["receipts"]))
-    >>> condition.holds(RequestFacts("receipts", "browse"))
+    >>> condition.matches(RequestFacts("receipts", "browse"))
     True
-    >>> list(condition.failures(RequestFacts("claims", "file")))
+    >>> list(condition.mismatches(RequestFacts("claims", "file")))
     ["service is 'claims'"]
     """
 
@@ -78,32 +78,32 @@
             model.attempt_above,
         )
 
-    def holds(self, facts: RequestFacts) -> bool:
+    def matches(self, facts: RequestFacts) -> bool:
         """Return whether the condition holds for a request."""
-        return next(self.failures(facts), None) is None
+        return next(self.mismatches(facts), None) is None
 
-    def may_hold(self, facts: RequestFacts) -> bool:
+    def may_match(self, facts: RequestFacts) -> bool:
         """Return whether it holds at some load and attempt."""
         return (
-            self.service.holds(facts.service)
-            and self.operation.holds(facts.operation)
-            and self.caller.holds(facts.caller)
-            and self.method.holds(facts.method)
-            and self.data_centre.holds(facts.data_centre)
+            self.service.matches(facts.service)
+            and self.operation.matches(facts.operation)
+            and self.caller.matches(facts.caller)
+            and self.method.matches(facts.method)
+            and self.data_centre.matches(facts.data_centre)
             and (not self.importance or facts.importance in self.importance)
         )
 
-    def failures(self, facts: RequestFacts) -> Iterator[str]:
+    def mismatches(self, facts: RequestFacts) -> Iterator[str]:
         """Yield why the condition does not hold, part by part."""
-        if not self.service.holds(facts.service):
+        if not self.service.matches(facts.service):
             yield f"service is {facts.service!r}"
-        if not self.operation.holds(facts.operation):
+        if not self.operation.matches(facts.operation):
             yield f"operation is {facts.operation!r}"
-        if not self.caller.holds(facts.caller):
+        if not self.caller.matches(facts.caller):
             yield f"caller is {facts.caller!r}"
-        if not self.method.holds(facts.method):
+        if not self.method.matches(facts.method):
             yield f"method is {facts.method!r}"
-        if not self.data_centre.holds(facts.data_centre):
+        if not self.data_centre.matches(facts.data_centre):
             yield f"data centre is {facts.data_centre!r}"
         if self.importance and facts.importance not in self.importance:
             yield f"importance is {facts.importance.label!r}"
--- a/packages/rattanfork-core/rattanfork_core/rules/explain.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/explain.py
@@ -33,7 +33,7 @@
     """
     passed_over = []
     for rule in rules.rules:
-        failures = tuple(rule.condition.failures(facts))
+        failures = tuple(rule.condition.mismatches(facts))
         if not failures:
             return Explanation(rule, tuple(passed_over))
         passed_over.append((rule.name, failures))
--- a/packages/rattanfork-core/rattanfork_core/rules/on_route.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/on_route.py
@@ -8,7 +8,7 @@
 from rattanfork_core.rules.rule import Rule
 
 
-def facts_of_route(
+def route_facts(
     route: Route,
     service: str,
     method: str,
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ruling:
+class RouteDecision:
     """How a request by a route is treated.
 
     Parameters
@@ -58,7 +58,7 @@
     refuse_after: float | None = None
 
 
-def rule_on(route: Route, rule: Rule | None) -> Ruling:
+def apply_rule(route: Route, rule: Rule | None) -> RouteDecision:
     """Return what a rule makes of a request by a route.
 
     Explanation
@@ -77,13 +77,13 @@
     >>> [rule] = load_rules('''
     ... rules: [{name: a, then: {importance: low, deadline: 2, idempotent: true}}]
     ... ''').rules
-    >>> ruled = rule_on(Route("r", "h", "/", (WeightedService("s"),)), rule).route
+    >>> ruled = apply_rule(Route("r", "h", "/", (WeightedService("s"),)), rule).route
     >>> ruled.priority, ruled.timeout, ruled.idempotent
     (3, 2.0, False)
     """
     level = importance_of_priority(route.priority)
     if rule is None:
-        return Ruling("-", replace(route, priority=level))
+        return RouteDecision("-", replace(route, priority=level))
     action = rule.action
     timeout, most = route.timeout, route.most_upstreams
     if action.deadline is not None:
@@ -97,4 +97,4 @@
         idempotent=route.idempotent and action.idempotent is not False,
         most_upstreams=most,
     )
-    return Ruling(rule.name, ruled, action.data_centre, action.refuse_after)
+    return RouteDecision(rule.name, ruled, action.data_centre, action.refuse_after)
--- a/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
@@ -58,7 +58,7 @@
         if len(candidates) > _FEW:
             candidates = self._narrow_further(facts, candidates)
         for rule in candidates:
-            if rule.condition.holds(facts):
+            if rule.condition.matches(facts):
                 return rule
         return None
 
@@ -67,8 +67,8 @@
         candidates = tuple(
             rule
             for rule in self._rules
-            if rule.condition.service.holds(service)
-            and rule.condition.operation.holds(operation)
+            if rule.condition.service.matches(service)
+            and rule.condition.operation.matches(operation)
         )
         if len(self._index) >= _MOST_INDEXED:
             self._index.clear()
@@ -88,7 +88,7 @@
         )
         narrow = self._fine_index.get(key)
         if narrow is None:
-            narrow = tuple(r for r in candidates if r.condition.may_hold(facts))
+            narrow = tuple(r for r in candidates if r.condition.may_match(facts))
             if len(self._fine_index) >= _MOST_INDEXED:
                 self._fine_index.clear()
             self._fine_index[key] = narrow
--- a/packages/rattanfork-core/rattanfork_core/rules/tests/test_rules.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/tests/test_rules.py
@@ -47,7 +47,7 @@
         }
     )
     rules = RuleSet(document)
-    holding = [r for r in rules.rules if r.condition.holds(facts)]
+    holding = [r for r in rules.rules if r.condition.matches(facts)]
     expected = holding[0] if holding else None
     assert rules.first_match(facts) is expected
     explained = explain(rules, facts)
--- a/packages/rattanfork-core/rattanfork_core/rules/yaml_place.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/yaml_place.py
@@ -12,7 +12,7 @@
 #: Documents nested deeper than this are refused before they are read.
 _DEEPEST = 50
 #: Longest document taken, in characters.
-LONGEST_DOCUMENT = 4_000_000
+MAX_DOCUMENT_LENGTH = 4_000_000
 
 
 def load_yaml_model(text: str, model: type[Model], source: str) -> Model:
@@ -62,7 +62,7 @@
 
 
 def _compose(text: str, source: str) -> yaml.Node | None:
-    if len(text) > LONGEST_DOCUMENT:
+    if len(text) > MAX_DOCUMENT_LENGTH:
         raise FindingsError([Finding(source, 1, 1, "the document is too long")])
     try:
         return yaml.compose(text, Loader=yaml.CSafeLoader)
--- a/packages/rattanfork-core/rattanfork_core/trace/budget.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/budget.py
@@ -18,7 +18,7 @@
 _SAMPLE = 1 / 16
 
 
-class LineBudget:
+class LogSampler:
     """Decides which lines are written.
 
     Explanation
@@ -45,10 +45,10 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> budget = LineBudget(ManualClock(), rate=1, burst=4)
-    >>> [budget.allows(b"r1", plain=False) for _ in range(5)]
+    >>> budget = LogSampler(ManualClock(), rate=1, burst=4)
+    >>> [budget.should_write(b"r1", plain=False) for _ in range(5)]
     [True, True, True, True, False]
-    >>> budget.take_left_out()
+    >>> budget.take_omitted()
     {'trouble': 1}
     """
 
@@ -62,7 +62,7 @@
         self._filled_at = clock.now()
         self._left_out: Counter[str] = Counter()
 
-    def allows(self, request_id: bytes, plain: bool) -> bool:
+    def should_write(self, request_id: bytes, plain: bool) -> bool:
         """Return whether a line may be written, and count it.
 
         Parameters
@@ -80,7 +80,7 @@
         self._left_out["plain" if plain else "trouble"] += 1
         return False
 
-    def take_left_out(self) -> dict[str, int]:
+    def take_omitted(self) -> dict[str, int]:
         """Return how many lines were left out since the last call, by kind."""
         left_out, self._left_out = dict(self._left_out), Counter()
         return left_out
--- a/packages/rattanfork-core/rattanfork_core/trace/line.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/line.py
@@ -74,7 +74,7 @@
     return LogLine(float(at), instance, kind.removeprefix(_PREFIX), request_id, record)
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Yield the lines of nodes among some texts."""
     for text in texts:
         line = parse_line(text)
--- a/packages/rattanfork-core/rattanfork_core/trace/losses.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/losses.py
@@ -11,7 +11,7 @@
 CALL_FAILED = "call-failed"
 UNKNOWN_PLACE = "-"
 #: Where the time of a request goes, in the order of its way.
-PARTS = ("first-node", "earlier-attempts", "crossing", "gate", "run", "calls")
+LATENCY_PARTS = ("first-node", "earlier-attempts", "crossing", "gate", "run", "calls")
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         All lost requests by ``route/cause``, as the nodes counted them up to their
         last sum; lines are left out under load, counts are not.
     late : dict
-        Mean seconds of a late request by route and part of :data:`PARTS`.
+        Mean seconds of a late request by route and part of :data:`LATENCY_PARTS`.
     left_out : dict
         Lines that nodes left out under load, by kind: losses beyond those told.
     """
@@ -257,7 +257,10 @@
         ran - calls,
         calls,
     )
-    return {part: max(0.0, ms) / 1000 for part, ms in zip(PARTS, seconds, strict=True)}
+    return {
+        part: max(0.0, ms) / 1000
+        for part, ms in zip(LATENCY_PARTS, seconds, strict=True)
+    }
 
 
 def _slowest_part(parts: dict[str, float]) -> str:
@@ -265,4 +268,4 @@
 
 
 def _mean(parts: list[dict[str, float]]) -> dict[str, float]:
-    return {part: sum(p[part] for p in parts) / len(parts) for part in PARTS}
+    return {part: sum(p[part] for p in parts) / len(parts) for part in LATENCY_PARTS}
--- a/packages/rattanfork-core/rattanfork_core/trace/story.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/story.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class TraceEvent:
     """One step of a request's story.
 
     Parameters
@@ -49,7 +49,7 @@
     text: str
 
 
-def tell_story(request_id: str, lines: Iterable[LogLine]) -> list[Step]:
+def trace_request(request_id: str, lines: Iterable[LogLine]) -> list[TraceEvent]:
     """Return the steps of a request and of the calls made for it, in order.
 
     Explanation
@@ -73,7 +73,7 @@
 
     >>> line = LogLine(1.0, "n1", "request", "r", {"route": "a",
     ...     "outcome": "not-run", "reason": "shed-early", "status": 503})
-    >>> [step.text for step in tell_story("r", [line])]
+    >>> [step.text for step in trace_request("r", [line])]
     ['route a: not-run (shed-early), answered 503']
     """
     prefix = request_id + "."
@@ -102,12 +102,12 @@
     return places
 
 
-def _step(line: LogLine, request_id: str) -> Step:
+def _step(line: LogLine, request_id: str) -> TraceEvent:
     depth = line.request_id.count(".") - request_id.count(".")
     if line.kind == "run":
         depth += 1
     tell = _TELLERS.get(line.kind, _tell_change)
-    return Step(line.at, line.instance, max(0, depth), tell(line))
+    return TraceEvent(line.at, line.instance, max(0, depth), tell(line))
 
 
 def _tell_request(line: LogLine) -> str:
--- a/packages/rattanfork-core/rattanfork_core/trace/tests/test_trace.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/tests/test_trace.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.trace import (
-    LineBudget,
     LogLine,
+    LogSampler,
     count_reasons,
     parse_line,
-    read_lines,
-    tell_story,
+    parse_lines,
+    trace_request,
 )
 
 
@@ -22,12 +22,12 @@
     Lines stay within rate and burst; those left out are all counted.
     """
     clock = ManualClock()
-    budget = LineBudget(clock, rate=100, burst=200)
+    budget = LogSampler(clock, rate=100, burst=200)
     written = left_out = 0
     for i in range(10_000):
         clock.advance(0.001)
-        written += budget.allows(b"r%d" % i, plain=i % 2 == 0)
-    left_out = sum(budget.take_left_out().values())
+        written += budget.should_write(b"r%d" % i, plain=i % 2 == 0)
+    left_out = sum(budget.take_omitted().values())
     assert written <= 200 + 100 * 10
     assert written + left_out == 10_000
 
@@ -37,28 +37,28 @@
 
     Those that fail afterwards are the ones somebody will ask about.
     """
-    budget = LineBudget(ManualClock(), rate=1, burst=400)
+    budget = LogSampler(ManualClock(), rate=1, burst=400)
     for i in range(5000):
-        budget.allows(b"r%d" % i, plain=True)
-    assert all(budget.allows(b"f%d" % i, plain=False) for i in range(50))
+        budget.should_write(b"r%d" % i, plain=True)
+    assert all(budget.should_write(b"f%d" % i, plain=False) for i in range(50))
 
 
 def test_under_load_nodes_keep_the_same_requests_with_their_calls():
     """Two nodes sample under load; a story needs the lines of both."""
     kept = []
     for name in (b"", b".1f", b".1f.2a"):
-        budget = LineBudget(ManualClock(), rate=1, burst=1000)
+        budget = LogSampler(ManualClock(), rate=1, burst=1000)
         for _ in range(500):
-            budget.allows(b"warm", plain=False)
+            budget.should_write(b"warm", plain=False)
         ids = [b"r%d" % i for i in range(300)]
-        kept.append([i for i in ids if budget.allows(i + name, plain=True)])
+        kept.append([i for i in ids if budget.should_write(i + name, plain=True)])
     assert kept[0]
     assert kept[0] == kept[1] == kept[2]
 
 
 @given(st.text() | st.binary().map(lambda b: b.decode("latin-1")))
 def test_no_text_stops_the_reader(text):
-    assert list(read_lines([text])) == [] or parse_line(text) is not None
+    assert list(parse_lines([text])) == [] or parse_line(text) is not None
 
 
 @given(
@@ -97,7 +97,7 @@
         LogLine(10.1, "n9", "request", "r2", {"route": "a"}),
         LogLine(10.1, "n9", "started", "", {}),
     ]
-    steps = tell_story("r", lines)
+    steps = trace_request("r", lines)
     assert [step.instance for step in steps] == ["n1", "n1", "n2"]
     assert steps[0].depth == 1
     assert "try 1 at n2@b1: connection after 40 ms" in steps[0].text
@@ -105,7 +105,7 @@
 
 
 def test_an_unknown_request_has_no_story():
-    assert tell_story("x", [LogLine(1.0, "n1", "started")]) == []
+    assert trace_request("x", [LogLine(1.0, "n1", "started")]) == []
 
 
 def test_reasons_are_counted_by_span_and_what_was_left_out_is_summed():
--- a/packages/rattanfork-node/rattanfork_node/app/account_parts.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_parts.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from rattanfork_core.client_accounts import AccountIndex
-from rattanfork_core.clock import BootClock
+from rattanfork_core.clock import BootTimeClock
 from rattanfork_core.membership import Member, Membership, MemberStatus
 from rattanfork_core.revision import ConfigurationLease
 
@@ -51,7 +51,7 @@
         counters: Counters,
     ) -> None:
         # Tokens are void also if the machine was suspended since.
-        clock = BootClock()
+        clock = BootTimeClock()
         self._configuration = configuration
         self._lease_task = store.lease
         self._quota = QuotaTask(
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -5,7 +5,7 @@
 from random import Random, SystemRandom
 
 from rattanfork_core.admission import AdmissionSettings
-from rattanfork_core.atmostonce import TicketMint
+from rattanfork_core.atmostonce import TicketIssuer
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.gate_status import ThresholdCache
@@ -89,7 +89,7 @@
         upstream = settings.upstream
         self._key = key
         self._rules = RevisionState(settings.rules.data_centres_needed)
-        self._mint = TicketMint(key, SystemRandom())
+        self._mint = TicketIssuer(key, SystemRandom())
         me = Member(
             settings.instance,
             boot,
@@ -356,7 +356,7 @@
             "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
             "edge.in_flight": self._edge.in_flight,
-            "keys.remembered": self._guard.ledger.remembered,
+            "keys.remembered": self._guard.ledger.key_count,
             "members.present": len(self._membership.present()),
             "peers.connected": self._pool.connected,
             "peers.silent": self._pool.silent,
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import ConnectionLedger
+from rattanfork_core.atmostonce import ConnectionCallLog
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult, Importance
@@ -95,7 +95,7 @@
         for task in list(link.calls.values()):
             task.cancel()
 
-    async def _run(self, link: PeerLink, call: Call, ledger: ConnectionLedger) -> None:
+    async def _run(self, link: PeerLink, call: Call, ledger: ConnectionCallLog) -> None:
         def may_hand_over() -> bool:
             return ledger.hand_over(call.number)
 
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from random import Random
 
-from rattanfork_core.account import RepeatGrants
-from rattanfork_core.clock import BootClock, MonotonicClock
+from rattanfork_core.account import GateRetryBudget
+from rattanfork_core.clock import BootTimeClock, MonotonicClock
 from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import (
     Member,
@@ -19,7 +19,7 @@
 from rattanfork_core.quarantine import Quarantine
 from rattanfork_core.revision import ConfigurationLease, RevisionState
 from rattanfork_core.routes import Configuration
-from rattanfork_core.trace import LineBudget
+from rattanfork_core.trace import LogSampler
 from rattanfork_platform import WatchedPlatform
 
 from rattanfork_node.app.account_parts import AccountParts
@@ -108,7 +108,7 @@
         self._counters.store = platform.asked
         self._draining = asyncio.Event()
         self._log = RequestLog(
-            writer, LineBudget(self._clock), settings.instance, time.time
+            writer, LogSampler(self._clock), settings.instance, time.time
         )
         self._make_parts(decode)
         self._make_tasks()
@@ -185,7 +185,7 @@
         self._reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
         self._membership.on_status = self._on_member
-        self._lease = ConfigurationLease(BootClock())
+        self._lease = ConfigurationLease(BootTimeClock())
         self._objectives = RouteObjectives(self._clock)
         self._journal = DecisionLog(
             self._clock,
@@ -202,7 +202,7 @@
             settings.names,
             self._counters,
             self._journal,
-            RepeatGrants(
+            GateRetryBudget(
                 self._clock,
                 relay.retry_budget_ratio,
                 relay.retry_budget_extra,
@@ -390,13 +390,13 @@
             await asyncio.sleep(_TICK)
 
     def _sweep(self) -> None:
-        self._objectives.roll()
+        self._objectives.flush()
         self._gate.sweep()
         for _, server in self._servers:
             server.sweep()
         self._metrics.sweep()
         gates = self._directory.instance_count(self._settings.relay.service)
-        self._gate.grants.share_among(gates)
+        self._gate.grants.set_gate_count(gates)
 
     def _on_member(self, member: Member, before: MemberStatus | None) -> None:
         self._observer.on_member(member, before)
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from rattanfork_core.clock import BootClock, Clock
+from rattanfork_core.clock import BootTimeClock, Clock
 from rattanfork_core.membership import CachedVersions, Membership, RoleAssignment
 from rattanfork_core.revision import (
     ConfigurationLease,
@@ -108,7 +108,7 @@
         )
         self._confirmation = ConfirmationTask(
             random,
-            ConfirmationSchedule(BootClock(), random),
+            ConfirmationSchedule(BootTimeClock(), random),
             roster,
             member_task,
             (self._configuration_task, self._rules_watch),
--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from random import Random
 
-from rattanfork_core.clock import BootClock, Clock
+from rattanfork_core.clock import BootTimeClock, Clock
 from rattanfork_core.membership import Membership
 from rattanfork_core.revision import ConfigurationLease
 from rattanfork_platform import PlatformDownError, Rows, WatchedPlatform
@@ -88,7 +88,7 @@
         self._holder = holder
         self._watch = RowWatch(platform, table, key, _WATCH_WAIT_S, is_watcher)
         self._key = key
-        self._lease = lease or ConfigurationLease(BootClock())
+        self._lease = lease or ConfigurationLease(BootTimeClock())
         self._membership = membership
         self._peers = PeerSelector(random, membership)
         self._gossip_task = gossip_task
--- a/packages/rattanfork-node/rattanfork_node/guard/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/exchange.py
@@ -2,7 +2,7 @@
 
 import os
 
-from rattanfork_core.account import Account, RunContext
+from rattanfork_core.account import RequestBudget, RunContext
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult, Outcome, Reason
 from rattanfork_core.request.importance import RANK_LIMIT
@@ -24,7 +24,7 @@
         request.caller,
         request.importance,
         request.operation,
-        Account(clock, request.deadline, request.attempts),
+        RequestBudget(clock, request.deadline, request.attempts),
         float(RANK_LIMIT),
     )
 
@@ -52,5 +52,5 @@
         answer.headers,
         answer.body,
         unused_attempts=context.account.attempts,
-        retry_after=context.refused_retry_after,
+        retry_after=context.downstream_retry_after,
     )
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/guard.py
@@ -17,11 +17,11 @@
 from rattanfork_core.atmostonce import (
     AlreadyAnswered,
     JoinRunning,
+    KeyRegistry,
     RefuseKey,
-    RunLedger,
     RunRecord,
     TicketError,
-    TicketMint,
+    TicketIssuer,
 )
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
@@ -76,7 +76,7 @@
         Source of the current time.
     instance, boot : str
         The instance and this incarnation of its guard.
-    mint : TicketMint
+    mint : TicketIssuer
         Reads keys.
     admission : AdmissionSettings
         Bounds of admission.
@@ -91,7 +91,7 @@
         clock: Clock,
         instance: str,
         boot: str,
-        mint: TicketMint,
+        mint: TicketIssuer,
         admission: AdmissionSettings,
         counters: Counters,
         random: Random,
@@ -101,7 +101,7 @@
         self._mint = mint
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
-        self._ledger = RunLedger(clock, instance, boot)
+        self._ledger = KeyRegistry(clock, instance, boot)
         self._deep_cuts = ThresholdCache(clock)
         self._counters = counters
         self._random = random
@@ -124,7 +124,7 @@
         return self._admission
 
     @property
-    def ledger(self) -> RunLedger:
+    def ledger(self) -> KeyRegistry:
         """The memory of keys."""
         return self._ledger
 
@@ -162,7 +162,7 @@
     def fence_key(self, key: str) -> FenceVerdict:
         """Refuse a key from now on, if it was not handed over."""
         try:
-            ticket = self._mint.read(key)
+            ticket = self._mint.parse(key)
         except TicketError:
             return FenceVerdict.UNKNOWN
         return self._ledger.fence(key, ticket)
@@ -187,11 +187,11 @@
 
     async def _run_keyed(self, request: GuardRequest) -> CallResult:
         try:
-            ticket = self._mint.read(request.key)
+            ticket = self._mint.parse(request.key)
         except TicketError:
             return self._refusal(request, Reason.BAD_REQUEST)
         digest = hash64(f"{request.method} {request.path}") ^ hash64(request.body.hex())
-        verdict = self._ledger.arrive(request.key, ticket, request.caller, digest)
+        verdict = self._ledger.on_request(request.key, ticket, request.caller, digest)
         if isinstance(verdict, RefuseKey):
             return CallResult(verdict.outcome, verdict.reason)
         if isinstance(verdict, AlreadyAnswered):
@@ -216,7 +216,7 @@
             self._background.discard(task)
             self._joins.pop(request.key, None)
             if task.cancelled() or task.exception() is not None:
-                self._ledger.lose(record)
+                self._ledger.on_connection_lost(record)
                 result = CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
             else:
                 result = task.result()
@@ -310,7 +310,7 @@
                 )
             succeeded = True
             self._refused_in_a_row = 0
-            self._deep_cuts.update(request.operation, "", context.deep_cut)
+            self._deep_cuts.update(request.operation, "", context.downstream_threshold)
             result = answered(context, answer)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
@@ -324,7 +324,7 @@
                 self._counters.events["cancelled.children"] += stopped
             self._apply(self._admission.finish(waiter.key, succeeded))
         if record is not None and result.outcome is Outcome.ANSWERED:
-            self._ledger.answer(record, result)
+            self._ledger.store_answer(record, result)
         return result
 
     def _failed(
@@ -334,7 +334,7 @@
             # Nothing was written, or the upstream vouches that it ran
             # nothing: the hand-over did not take place.
             if record is not None:
-                self._ledger.retract(record)
+                self._ledger.cancel_hand_over(record)
             shed = isinstance(error, UpstreamShedError)
             self._refused_in_a_row += not shed
             if shed:
@@ -342,7 +342,7 @@
             reason = Reason.SHED if shed else Reason.UPSTREAM_DOWN
             return self._refusal(request, reason)
         if record is not None:
-            self._ledger.lose(record)
+            self._ledger.on_connection_lost(record)
         if isinstance(error, TimeoutError):
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         if isinstance(error, UpstreamTooLargeError):
--- a/packages/rattanfork-node/rattanfork_node/guard/tests/test_guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/tests/test_guard.py
@@ -5,7 +5,7 @@
 
 import uvloop
 from rattanfork_core.admission import AdmissionSettings
-from rattanfork_core.atmostonce import TicketMint
+from rattanfork_core.atmostonce import TicketIssuer
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.request import Importance, Outcome, Reason
 from rattanfork_node.guard import Guard, GuardRequest, UpstreamAnswer
@@ -35,7 +35,7 @@
 
 def check(key_of) -> None:
     async def run() -> None:
-        mint = TicketMint(b"key", Random(1))
+        mint = TicketIssuer(b"key", Random(1))
         settings = AdmissionSettings(slots=1, warmup=0)
         guard = Guard(MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1))
         upstream = Upstream()
--- a/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
@@ -1,6 +1,6 @@
 """From a caller's request to its final answer, free of HTTP."""
 
-from rattanfork_core.account.callers import CallerBook
+from rattanfork_core.account.callers import CallerTable
 
 from rattanfork_node.ingress.dispatcher import Dispatcher
 from rattanfork_node.ingress.epochs import EpochBook
@@ -12,7 +12,7 @@
 from rattanfork_node.member.directory import InstanceDirectory
 
 __all__ = [
-    "CallerBook",
+    "CallerTable",
     "InstanceDirectory",
     "Dispatcher",
     "EpochBook",
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import Member, Membership
@@ -45,7 +45,7 @@
     """One request on its way."""
 
     incoming: Incoming
-    account: Account
+    account: RequestBudget
     importance: Importance
     rank: float
     idempotent: bool
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -3,9 +3,9 @@
 import asyncio
 from random import Random
 
-from rattanfork_core.account import Account, RunContext
-from rattanfork_core.account.callers import CallerBook
-from rattanfork_core.atmostonce import TicketError, TicketMint
+from rattanfork_core.account import RequestBudget, RunContext
+from rattanfork_core.account.callers import CallerTable
+from rattanfork_core.atmostonce import TicketError, TicketIssuer
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
@@ -59,7 +59,7 @@
         dispatcher: Dispatcher,
         guard: Guard,
         hints: ThresholdCache,
-        mint: TicketMint,
+        mint: TicketIssuer,
         counters: Counters,
         burn: BurnMeter,
         key_issuer: KeyIssuer,
@@ -79,7 +79,7 @@
         self._burn = burn
         self._issuer = key_issuer
         self._assigner = key_assigner
-        self._book = CallerBook(clock)
+        self._book = CallerTable(clock)
         self._next_child = 0
 
     async def issue_keys(self, service: str, count: int) -> list[str]:
@@ -101,7 +101,7 @@
         return result
 
     async def _serve_root(self, incoming: Incoming) -> tuple[CallResult, Treatment]:
-        number = self._book.arrive(incoming.request_id, incoming.caller)
+        number = self._book.count_attempt(incoming.request_id, incoming.caller)
         incoming.attempt = max(incoming.attempt, number or 1)
         picker = self._directory.picker(incoming.service)
         hint_key = f"{incoming.service}/{incoming.operation}"
@@ -121,7 +121,7 @@
         if refusal is not None:
             return await self._prove_refusal(incoming, refusal), treatment
         deadline = self._clock.now() + treatment.deadline
-        account = Account(self._clock, deadline, treatment.attempts)
+        account = RequestBudget(self._clock, deadline, treatment.attempts)
         job = Job(
             incoming,
             account,
@@ -145,12 +145,12 @@
             return CallResult(Outcome.NOT_RUN, Reason.RULE, retry_after=after)
         if action.rate is not None:
             who = incoming.caller if action.rate_per_caller else ""
-            limit = self._book.limit(treatment.rule, who, action.rate)
+            limit = self._book.rate_limit(treatment.rule, who, action.rate)
             if not limit.take():
                 base = max(limit.delay, self._settings.retry_after)
                 after = jittered_retry_after(base, rank, self._random)
                 return CallResult(Outcome.NOT_RUN, Reason.LIMIT, retry_after=after)
-        budget = self._book.budget(f"caller:{incoming.caller}")
+        budget = self._book.retry_budget(f"caller:{incoming.caller}")
         if incoming.attempt == 1:
             budget.earn()
         elif not budget.spend():
@@ -169,8 +169,8 @@
         deadline = context.account.deadline
         if incoming.timeout is not None:
             deadline = min(deadline, self._clock.now() + incoming.timeout)
-        lent = context.account.lend()
-        account = Account(self._clock, deadline, lent)
+        lent = context.account.delegate()
+        account = RequestBudget(self._clock, deadline, lent)
         job = Job(
             incoming,
             account,
@@ -183,12 +183,12 @@
         self._next_child += 1
         number = self._next_child
         task = asyncio.current_task()
-        context.cancels[number] = task.cancel
+        context.cancel_callbacks[number] = task.cancel
         try:
             result = await self._dispatch(job)
         finally:
-            context.cancels.pop(number, None)
-        context.account.take_back(lent, account.attempts)
+            context.cancel_callbacks.pop(number, None)
+        context.account.reclaim(lent, account.attempts)
         self._pass_up(context, job, result)
         return result
 
@@ -196,10 +196,10 @@
         picker = self._directory.picker(job.incoming.service)
         if picker is not None:
             _, highest = blocked_instances(picker, self._hints, job.hint_key, job.rank)
-            context.hear_cut(highest)
+            context.on_threshold(highest)
         if result.outcome is not Outcome.ANSWERED or result.retry_after:
-            context.refused_retry_after = max(
-                context.refused_retry_after, result.retry_after
+            context.downstream_retry_after = max(
+                context.downstream_retry_after, result.retry_after
             )
 
     async def _dispatch(self, job: Job) -> CallResult:
@@ -223,7 +223,7 @@
                 if probed is None:
                     return self._refusal(Reason.SHED_EARLY, job.rank)
                 blocked = blocked - {probed}
-        budget = self._book.budget(f"target:{incoming.service}")
+        budget = self._book.retry_budget(f"target:{incoming.service}")
         budget.earn()
 
         def pick(avoid: frozenset[str]) -> str | None:
@@ -270,7 +270,7 @@
 
     async def _ticket(self, incoming: Incoming, rank: float) -> str | CallResult:
         try:
-            self._mint.read(incoming.key)
+            self._mint.parse(incoming.key)
         except TicketError:
             return await self._assigned(incoming, rank)
         return incoming.key
@@ -299,7 +299,7 @@
             return result
 
     async def _run_ticket(self, job: Job) -> CallResult:
-        ticket = self._mint.read(job.key)
+        ticket = self._mint.parse(job.key)
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
@@ -314,7 +314,7 @@
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
             return result
         try:
-            ticket = self._mint.read(incoming.key)
+            ticket = self._mint.parse(incoming.key)
         except TicketError:
             result.outcome = Outcome.UNKNOWN
             return result
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import TicketMint
+from rattanfork_core.atmostonce import TicketIssuer
 from rattanfork_core.membership import Member
 
 from rattanfork_node.guard import Guard
@@ -19,7 +19,7 @@
     Parameters
     ==========
 
-    mint : TicketMint
+    mint : TicketIssuer
         Makes the keys.
     directory : InstanceDirectory
         Who serves what.
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        mint: TicketMint,
+        mint: TicketIssuer,
         directory: InstanceDirectory,
         pool: PeerPool,
         guard: Guard,
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_gone.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/tests/test_gone.py
@@ -5,7 +5,7 @@
 "not run" though the claim had run, because this attempt had not been sent.
 """
 
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance, Outcome, SendCall
 from rattanfork_node.ingress.dispatcher import Job, _gone
@@ -14,7 +14,7 @@
 
 
 def job(key: str, key_is_new: bool) -> Job:
-    account = Account(ManualClock(), 1.0, 1)
+    account = RequestBudget(ManualClock(), 1.0, 1)
     return Job(
         None, account, Importance.HIGH, 1.5, False, key, "", key_is_new=key_is_new
     )
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_treatment.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/tests/test_treatment.py
@@ -4,7 +4,7 @@
 from rattanfork_core.request import Importance
 from rattanfork_core.rules import load_rules
 from rattanfork_core.settings import RequestSettings
-from rattanfork_node.ingress import CallerBook, Incoming, treat
+from rattanfork_node.ingress import CallerTable, Incoming, treat
 
 RULES = load_rules(
     """
@@ -60,15 +60,15 @@
 
 
 def test_a_request_id_belongs_to_its_first_caller():
-    book = CallerBook(ManualClock())
-    seen = [book.arrive("r", caller) for caller in ("ann", "ann", "bob")]
+    book = CallerTable(ManualClock())
+    seen = [book.count_attempt("r", caller) for caller in ("ann", "ann", "bob")]
     assert seen == [1, 2, None]
 
 
 def test_what_is_remembered_of_callers_is_bounded():
-    book = CallerBook(ManualClock(), most=10)
+    book = CallerTable(ManualClock(), most=10)
     for i in range(100):
-        book.arrive(f"r{i}", "ann")
-        book.budget(f"caller:{i}")
-        book.limit("rule", f"{i}", 1.0)
-    assert book.arrive("r0", "bob") == 1
+        book.count_attempt(f"r{i}", "ann")
+        book.retry_budget(f"caller:{i}")
+        book.rate_limit("rule", f"{i}", 1.0)
+    assert book.count_attempt("r0", "bob") == 1
--- a/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from rattanfork_core.atmostonce import ConnectionLedger
+from rattanfork_core.atmostonce import ConnectionCallLog
 from rattanfork_core.request import FenceVerdict
 
 from rattanfork_node.peer.errors import FrameError
@@ -44,7 +44,7 @@
     def __init__(self, rules: RevisionState, counters: Counters) -> None:
         self._rules = rules
         self._counters = counters
-        self._ledgers: OrderedDict[str, ConnectionLedger] = OrderedDict()
+        self._ledgers: OrderedDict[str, ConnectionCallLog] = OrderedDict()
         self._links: set[PeerLink] = set()
         self._member: GossipTask | None = None
 
@@ -62,7 +62,7 @@
         if link.connection in self._ledgers:
             raise FrameError("the connection's name is taken")
         self._links.add(link)
-        self._ledgers[link.connection] = ConnectionLedger()
+        self._ledgers[link.connection] = ConnectionCallLog()
         if len(self._ledgers) > _MOST_LEDGERS:
             # A fence for a connection that is forgotten is answered
             # "unknown", never "not run".
@@ -85,7 +85,7 @@
         """Count a frame that was refused."""
         self._counters.events["peer.bad-frame"] += 1
 
-    def ledger_for(self, link: PeerLink, number: int) -> ConnectionLedger:
+    def ledger_for(self, link: PeerLink, number: int) -> ConnectionCallLog:
         """Return the ledger in which a request has just arrived.
 
         Raises
@@ -95,7 +95,7 @@
             If the request's number was taken before.
         """
         ledger = self._ledgers.get(link.connection)
-        if ledger is None or not ledger.arrive(number):
+        if ledger is None or not ledger.accept(number):
             raise FrameError("a request's number is taken")
         return ledger
 
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from rattanfork_core.account import HopAccount
+from rattanfork_core.account import LocalRequestBudget
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
@@ -123,7 +123,7 @@
         self._sent_at = 0.0
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
-        account = HopAccount(relay.clock, deadline, route.most_upstreams - 1)
+        account = LocalRequestBudget(relay.clock, deadline, route.most_upstreams - 1)
         self._machine = RequestStateMachine(
             account,
             route.idempotent,
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from rattanfork_core.account import RepeatGrants
+from rattanfork_core.account import GateRetryBudget
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -87,7 +87,7 @@
         What happened.
     journal : Journal
         Told what became of each request.
-    grants : RepeatGrants
+    grants : GateRetryBudget
         Decides which repeats may arrive.
     quarantine : Quarantine
         Knows the requests that no upstream may run.
@@ -100,7 +100,7 @@
         names: HeaderNames,
         counters: Counters,
         journal: DecisionLog,
-        grants: RepeatGrants,
+        grants: GateRetryBudget,
         quarantine: Quarantine,
     ) -> None:
         self._clock = clock
@@ -282,7 +282,7 @@
             job.granted = self.grants.grant(job.rank)
             return job.granted
         if job.repeated:
-            self.grants.count_repeat()
+            self.grants.count_retry()
         elif job.attempt == 1:
             # What other gates have shed was counted there.
             self.grants.count_request()
@@ -423,7 +423,7 @@
     def _refuse(self, job: Job, reason: Reason) -> None:
         self._counters.events[f"gate.{reason.label}"] += 1
         if job.granted:
-            self.grants.take_back()
+            self.grants.refund()
         self._finish(job, not_run(reason))
 
     def _finish(self, job: Job, result: CallResult) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -6,12 +6,12 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account.callers import CallerBook
+from rattanfork_core.account.callers import CallerTable
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import Reason
 from rattanfork_core.routes import Route
-from rattanfork_core.rules import RuleSet, facts_of_route, rule_on
+from rattanfork_core.rules import RuleSet, apply_rule, route_facts
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
     def __init__(self, clock: Clock, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._book = CallerBook(clock)
+        self._book = CallerTable(clock)
 
     def rule(
         self,
@@ -71,17 +71,17 @@
     ) -> Verdict:
         """Return the verdict on a request."""
         priority = None if account is None else account.priority
-        facts = facts_of_route(
+        facts = route_facts(
             route, service, method, caller, self._data_centre, load, priority
         )
         found = rules.first_match(facts)
-        ruling = rule_on(route, found)
+        ruling = apply_rule(route, found)
         refusal, after = None, 0.0
         if ruling.refuse_after is not None:
             refusal, after = Reason.RULE, ruling.refuse_after
         elif found is not None and found.action.rate is not None:
             who = caller if found.action.rate_per_caller else ""
-            limit = self._book.limit(found.name, who, found.action.rate)
+            limit = self._book.rate_limit(found.name, who, found.action.rate)
             if not limit.take():
                 refusal, after = Reason.LIMIT, limit.delay
         sets_importance = found is not None and found.action.importance is not None
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -4,7 +4,7 @@
 from functools import wraps
 from random import Random
 
-from rattanfork_core.account import RepeatGrants
+from rattanfork_core.account import GateRetryBudget
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import GateReportTable
@@ -15,7 +15,7 @@
 from rattanfork_core.request import CallResult
 from rattanfork_core.revision import ConfigurationLease, RevisionState, RulesRecord
 from rattanfork_core.routes import Configuration, Route, WeightedService
-from rattanfork_core.trace import LineBudget
+from rattanfork_core.trace import LogSampler
 
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HeaderNames, UpstreamAnswer
@@ -93,7 +93,7 @@
 
     def __init__(self, clock: ManualClock) -> None:
         self.lines: list[dict] = []
-        budget = LineBudget(clock)
+        budget = LogSampler(clock)
         super().__init__(LineWriter(None), budget, "me", clock.now)
 
     def write(self, kind: str, request_id: bytes, fields: dict) -> None:
@@ -109,7 +109,7 @@
         self.log = FakeLog(self.clock)
         holder, rules = ConfigurationHolder(lambda _: None), RevisionState()
         journal = DecisionLog(self.clock, self.log, Counters(), holder, rules)
-        self.grants = RepeatGrants(self.clock, ratio=0.2, extra=48, window=10)
+        self.grants = GateRetryBudget(self.clock, ratio=0.2, extra=48, window=10)
         self.quarantine = Quarantine(self.clock)
         self.gate = Gate(
             self.clock,
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -88,7 +88,7 @@
 
 
 def counted(world: RelayHarness) -> dict[str, tuple[int, int]]:
-    world.objectives.roll()
+    world.objectives.flush()
     return {route: windows[0] for route, windows in world.objectives.totals()}
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -5,7 +5,7 @@
 from itertools import product
 
 import pytest
-from rattanfork_core.account import RepeatGrants
+from rattanfork_core.account import GateRetryBudget
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
 from rattanfork_node.relay.tests.fakes import FakeLink, RelayHarness, on_loop
@@ -69,7 +69,7 @@
     """Stands for the gates of the service: they count arrivals and grant repeats."""
 
     def __init__(self, world: RelayHarness) -> None:
-        self.grants = RepeatGrants(world.clock, ratio=0.2, extra=48, window=10)
+        self.grants = GateRetryBudget(world.clock, ratio=0.2, extra=48, window=10)
         self.granted = 0
 
     def take(self, link: FakeLink, place: int) -> bool:
--- a/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rattanfork_core.trace import LineBudget
+from rattanfork_core.trace import LogSampler
 
 from rattanfork_node.telemetry.writer import LineWriter
 
@@ -23,7 +23,7 @@
 
     writer : LineWriter
         Where lines go.
-    budget : LineBudget
+    budget : LogSampler
         Bounds them.
     instance : str
         Named on each line, since logs of many nodes are read together.
@@ -35,7 +35,7 @@
     def __init__(
         self,
         writer: LineWriter,
-        budget: LineBudget,
+        budget: LogSampler,
         instance: str,
         wall: Callable[[], float],
     ) -> None:
@@ -49,7 +49,7 @@
 
         Asked first, so that fields are gathered only for lines that are.
         """
-        return self._budget.allows(request_id, plain)
+        return self._budget.should_write(request_id, plain)
 
     def write(self, kind: str, request_id: bytes, fields: dict[str, Any]) -> None:
         """Write a line that was wanted."""
@@ -61,7 +61,7 @@
 
     def left_out(self) -> dict[str, int]:
         """Return the lines left out since the last call, by kind."""
-        left_out = self._budget.take_left_out()
+        left_out = self._budget.take_omitted()
         if self._writer.dropped:
             left_out["unread"] = self._writer.dropped
         return left_out
--- a/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
@@ -5,7 +5,7 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.objectives import RouteObjectives
-from rattanfork_core.trace import LineBudget
+from rattanfork_core.trace import LogSampler
 from rattanfork_node.app.metrics_handler import MetricsHandler
 from rattanfork_node.http1.exchange import Exchange
 from rattanfork_node.telemetry import Counters, LineWriter, RequestLog
@@ -61,7 +61,7 @@
 
 def test_lines_left_out_are_told():
     clock = ManualClock()
-    log = RequestLog(LineWriter(None), LineBudget(clock, 1, 4), "n1", clock.now)
+    log = RequestLog(LineWriter(None), LogSampler(clock, 1, 4), "n1", clock.now)
     wanted = [log.wants(b"r", plain=False) for _ in range(6)]
     assert wanted == [True] * 4 + [False] * 2
     assert log.left_out() == {"trouble": 2}
@@ -96,7 +96,7 @@
     counters.durations.add(("a", "answered"), 0.02)
     objectives = RouteObjectives(ManualClock(9.0))
     objectives.add("a", good=False)
-    objectives.roll()
+    objectives.flush()
     status, block, body = ask(
         MetricsHandler(counters, lambda: {"waiting": 4}, objectives), b"/metrics"
     )
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.admission import AdmissionController
-from rattanfork_core.atmostonce import ConnectionLedger, RunLedger
+from rattanfork_core.atmostonce import ConnectionCallLog, KeyRegistry
 from rattanfork_core.atmostonce.record import RunState
 from rattanfork_core.request import FenceVerdict, RequestStateMachine
 
 from rattanfork_testkit.matrix.world import Parts
 
 
-class _RunsEveryCopy(RunLedger):
+class _RunsEveryCopy(KeyRegistry):
     """Forgets that a key was handed over."""
 
     def hand_over(self, record):
@@ -21,17 +21,17 @@
         records = self._records(ticket)
         if records is not None:
             records.pop(key, None)
-        return super().arrive(key, ticket, caller, digest)
+        return super().on_request(key, ticket, caller, digest)
 
 
-class _AnyIncarnation(RunLedger):
+class _AnyIncarnation(KeyRegistry):
     """Takes keys of other incarnations."""
 
     def _records(self, ticket):
         return self._epochs[self._epoch]
 
 
-class _FenceIsForgotten(RunLedger):
+class _FenceIsForgotten(KeyRegistry):
     """Answers a fence without keeping it."""
 
     def fence(self, key, ticket):
@@ -43,7 +43,7 @@
         return verdict
 
 
-class _RefusalLeavesKeyOpen(RunLedger):
+class _RefusalLeavesKeyOpen(KeyRegistry):
     """Refuses without closing the key."""
 
     def refuse(self, record):
@@ -52,7 +52,7 @@
         return True
 
 
-class _OpenConnection(ConnectionLedger):
+class _OpenConnection(ConnectionCallLog):
     """Answers a fence and lets the connection's calls run after it."""
 
     def hand_over(self, number):
@@ -71,7 +71,7 @@
         return self.on_fence_verdict(number, FenceVerdict.NOT_RUN)
 
 
-class _EndlessAttempts(Account):
+class _EndlessAttempts(RequestBudget):
     """Mints attempts."""
 
     def spend(self):
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
@@ -6,7 +6,7 @@
 from rattanfork_core.admission import Start, Waiter
 from rattanfork_core.atmostonce import (
     AlreadyAnswered,
-    ConnectionLedger,
+    ConnectionCallLog,
     JoinRunning,
     RefuseKey,
     RunRecord,
@@ -52,11 +52,11 @@
         ledger = self.connections().setdefault(
             self.connection, world.parts.connection()
         )
-        if not ledger.arrive(1):
+        if not ledger.accept(1):
             return
         request = self.attempt.request
         if request.ticket is not None:
-            verdict = self.guard.ledger.arrive(
+            verdict = self.guard.ledger.on_request(
                 request.key, request.ticket, request.caller, 1
             )
             if isinstance(verdict, RefuseKey):
@@ -71,7 +71,7 @@
             self.record = verdict.record
         self._queue()
 
-    def connections(self) -> dict[str, ConnectionLedger]:
+    def connections(self) -> dict[str, ConnectionCallLog]:
         """Return the guard's memory of connections."""
         return self.guard.connections
 
@@ -118,7 +118,7 @@
         delays = self.attempt.strike("HAND_OVER", guard)
         if not guard.upstream_alive:
             if self.record is not None:
-                guard.ledger.retract(self.record)
+                guard.ledger.cancel_hand_over(self.record)
             self._end(CallResult(Outcome.NOT_RUN, Reason.UPSTREAM_DOWN))
             return
         for delay in delays[:1]:
@@ -162,12 +162,12 @@
         body = f"for {request.caller} {request.request_id}".encode()
         result = CallResult(Outcome.ANSWERED, status=200, body=body)
         if self.record is not None:
-            self.guard.ledger.answer(self.record, result)
+            self.guard.ledger.store_answer(self.record, result)
         self._end(result)
 
     def _upstream_lost(self) -> None:
         if self.record is not None:
-            self.guard.ledger.lose(self.record)
+            self.guard.ledger.on_connection_lost(self.record)
         result = CallResult(Outcome.UNKNOWN, Reason.UPSTREAM_DOWN, retry_elsewhere=True)
         self._end(result)
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
@@ -5,9 +5,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from rattanfork_core.account import Account
+from rattanfork_core.account import RequestBudget
 from rattanfork_core.admission import AdmissionController, AdmissionSettings
-from rattanfork_core.atmostonce import ConnectionLedger, RunLedger, Ticket
+from rattanfork_core.atmostonce import ConnectionCallLog, KeyRegistry, Ticket
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import CallResult, RequestStateMachine
 
@@ -38,10 +38,10 @@
 class Parts:
     """The safeguards under test; a break puts a faulty one in."""
 
-    ledger: type[RunLedger] = RunLedger
-    connection: type[ConnectionLedger] = ConnectionLedger
+    ledger: type[KeyRegistry] = KeyRegistry
+    connection: type[ConnectionCallLog] = ConnectionCallLog
     machine: type[RequestStateMachine] = RequestStateMachine
-    account: type[Account] = Account
+    account: type[RequestBudget] = RequestBudget
     admission: type[AdmissionController] = AdmissionController
     matches_connection: bool = True
 
@@ -57,7 +57,7 @@
     frozen_until: float = 0.0
     upstream_alive: bool = True
     upstream_delay: float = 0.0
-    connections: dict[str, ConnectionLedger] = field(default_factory=dict)
+    connections: dict[str, ConnectionCallLog] = field(default_factory=dict)
     leaving_at: float | None = None
     full_until: float = 0.0
 
