--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -11,10 +11,10 @@
 
 import uvloop
 from rattanfork_core.admission import AdmissionController, AdmissionSettings, Waiter
-from rattanfork_core.atmostonce import KeyRegistry, Ticket
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import ManualClock, MonotonicClock
 from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.idempotency import KeyRegistry, Ticket
 from rattanfork_core.membership import (
     CachedVersions,
     Member,
--- a/packages/rattanfork-core/rattanfork_core/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/__init__.py
@@ -5,13 +5,13 @@
 """
 
 __all__ = [
-    "account",
+    "budgets",
     "admission",
-    "atmostonce",
+    "idempotency",
     "burn",
     "clock",
     "hashing",
-    "hints",
+    "gate_status",
     "membership",
     "request",
     "revision",
--- /dev/null
+++ b/packages/rattanfork-core/rattanfork_core/budgets/__init__.py
@@ -0,0 +1,21 @@
+"""The account of a request: its deadline and its conserved extra attempts."""
+
+from rattanfork_core.budgets.caller_retry_budget import CallerRetryBudget
+from rattanfork_core.budgets.caller_table import CallerTable
+from rattanfork_core.budgets.gate_retry_budget import GateRetryBudget
+from rattanfork_core.budgets.local_request_budget import LocalRequestBudget
+from rattanfork_core.budgets.rate_limit import RateLimit
+from rattanfork_core.budgets.request_budget import RequestBudget
+from rattanfork_core.budgets.run_context import RunContext
+from rattanfork_core.budgets.service_retry_budget import ServiceRetryBudget
+
+__all__ = [
+    "RequestBudget",
+    "CallerTable",
+    "LocalRequestBudget",
+    "RateLimit",
+    "ServiceRetryBudget",
+    "GateRetryBudget",
+    "CallerRetryBudget",
+    "RunContext",
+]
--- a/packages/rattanfork-core/rattanfork_core/account/callers.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_table.py
@@ -2,8 +2,8 @@
 
 from collections import OrderedDict
 
-from rattanfork_core.account.budget import CallerRetryBudget
-from rattanfork_core.account.rate import RateLimit
+from rattanfork_core.budgets.caller_retry_budget import CallerRetryBudget
+from rattanfork_core.budgets.rate_limit import RateLimit
 from rattanfork_core.clock import Clock
 
 
--- a/packages/rattanfork-core/rattanfork_core/account/grants.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
@@ -1,6 +1,6 @@
 """Repeats that the gate of a service grants to those who call it."""
 
-from rattanfork_core.account.repeats import ServiceRetryBudget
+from rattanfork_core.budgets.service_retry_budget import ServiceRetryBudget
 from rattanfork_core.clock import Clock
 
 #: Part of the repeats allowed by a gate's arrivals that is granted.  The rest covers
--- a/packages/rattanfork-core/rattanfork_core/account/hop.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/local_request_budget.py
@@ -1,6 +1,6 @@
 """An account whose extra attempts stay at this hop."""
 
-from rattanfork_core.account.account import RequestBudget
+from rattanfork_core.budgets.request_budget import RequestBudget
 
 
 class LocalRequestBudget(RequestBudget):
--- a/packages/rattanfork-core/rattanfork_core/account/context.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rattanfork_core.account.account import RequestBudget
+from rattanfork_core.budgets.request_budget import RequestBudget
 from rattanfork_core.request.importance import Importance
 
 
--- a/packages/rattanfork-core/rattanfork_core/account/repeats.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -1,6 +1,6 @@
 """Bound on the repeated arrivals of one service."""
 
-from rattanfork_core.account.wants import RetryDemand
+from rattanfork_core.budgets.retry_demand import RetryDemand
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.importance import RANK_LIMIT, Importance
 
--- a/packages/rattanfork-core/rattanfork_core/account/tests/test_grants.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import GateRetryBudget
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.clock import ManualClock
 
 RATIO, EXTRA, WINDOW = 0.2, 20.0, 10.0
--- a/packages/rattanfork-core/rattanfork_core/account/tests/test_account.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import CallerRetryBudget, RequestBudget
+from rattanfork_core.budgets import CallerRetryBudget, RequestBudget
 from rattanfork_core.clock import ManualClock
 
 GRANTS = st.integers(0, 10)
--- a/packages/rattanfork-core/rattanfork_core/account/tests/test_repeats.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import ServiceRetryBudget
+from rattanfork_core.budgets import ServiceRetryBudget
 from rattanfork_core.clock import ManualClock
 
 
--- a/packages/rattanfork-core/rattanfork_core/clock/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/__init__.py
@@ -1,6 +1,6 @@
 """Time as an interface, so that every decision can be replayed."""
 
-from rattanfork_core.clock.boot import BootTimeClock
+from rattanfork_core.clock.boottime import BootTimeClock
 from rattanfork_core.clock.clock import Clock
 from rattanfork_core.clock.manual import ManualClock
 from rattanfork_core.clock.monotonic import MonotonicClock
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -13,13 +13,13 @@
 from itertools import count
 from random import Random
 
-from rattanfork_core.account import GateRetryBudget, ServiceRetryBudget
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
     Start,
     Waiter,
 )
+from rattanfork_core.budgets import GateRetryBudget, ServiceRetryBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import (
     CallChainThresholds,
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/__init__.py
@@ -1,10 +1,10 @@
 """At most once: keys that one guard alone may run, and proofs of not run."""
 
-from rattanfork_core.atmostonce.connection import ConnectionCallLog
-from rattanfork_core.atmostonce.ledger import KeyRegistry
-from rattanfork_core.atmostonce.record import RunRecord, RunState
-from rattanfork_core.atmostonce.ticket import Ticket, TicketError, TicketIssuer
-from rattanfork_core.atmostonce.verdicts import (
+from rattanfork_core.idempotency.connection_call_log import ConnectionCallLog
+from rattanfork_core.idempotency.key_registry import KeyRegistry
+from rattanfork_core.idempotency.record import RunRecord, RunState
+from rattanfork_core.idempotency.ticket import Ticket, TicketError, TicketIssuer
+from rattanfork_core.idempotency.verdicts import (
     AlreadyAnswered,
     JoinRunning,
     RefuseKey,
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/ledger.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
@@ -2,15 +2,15 @@
 
 from collections import OrderedDict
 
-from rattanfork_core.atmostonce.record import RunRecord, RunState
-from rattanfork_core.atmostonce.ticket import Ticket
-from rattanfork_core.atmostonce.verdicts import (
+from rattanfork_core.clock import Clock
+from rattanfork_core.idempotency.record import RunRecord, RunState
+from rattanfork_core.idempotency.ticket import Ticket
+from rattanfork_core.idempotency.verdicts import (
     AlreadyAnswered,
     JoinRunning,
     RefuseKey,
     RunNow,
 )
-from rattanfork_core.clock import Clock
 from rattanfork_core.request.outcome import Outcome, Reason
 from rattanfork_core.request.result import CallResult, FenceVerdict
 
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/tests/test_ledger.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
@@ -7,7 +7,8 @@
     invariant,
     rule,
 )
-from rattanfork_core.atmostonce import (
+from rattanfork_core.clock import ManualClock
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
     JoinRunning,
     KeyRegistry,
@@ -15,7 +16,6 @@
     RunNow,
     Ticket,
 )
-from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import CallResult, FenceVerdict, Outcome, Reason
 
 CALLERS = ("clerk", "treasurer")
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/ticket.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/ticket.py
@@ -72,7 +72,7 @@
     >>> mint.parse("bogus")
     Traceback (most recent call last):
     ...
-    rattanfork_core.atmostonce.ticket.TicketError: not a key of this system
+    rattanfork_core.idempotency.ticket.TicketError: not a key of this system
     """
 
     def __init__(self, key: bytes, random: Random) -> None:
--- a/packages/rattanfork-core/rattanfork_core/atmostonce/verdicts.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/verdicts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.atmostonce.record import RunRecord
+from rattanfork_core.idempotency.record import RunRecord
 from rattanfork_core.request.outcome import Outcome, Reason
 from rattanfork_core.request.result import CallResult
 
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rattanfork_core.account import RequestBudget
+from rattanfork_core.budgets import RequestBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import (
     AttemptState,
--- a/packages/rattanfork-core/rattanfork_core/rules/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/__init__.py
@@ -14,10 +14,10 @@
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.finding import Finding, FindingsError
 from rattanfork_core.rules.load import load_rules
-from rattanfork_core.rules.on_route import RouteDecision, apply_rule, route_facts
+from rattanfork_core.rules.route_decision import RouteDecision, apply_rule, route_facts
 from rattanfork_core.rules.rule import Rule
 from rattanfork_core.rules.ruleset import RuleSet
-from rattanfork_core.rules.yaml_place import load_yaml_model
+from rattanfork_core.rules.yaml_loader import load_yaml_model
 
 __all__ = [
     "Action",
--- a/packages/rattanfork-core/rattanfork_core/rules/load.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/load.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.rules.document import RulesDocument
 from rattanfork_core.rules.ruleset import RuleSet
-from rattanfork_core.rules.yaml_place import load_yaml_model
+from rattanfork_core.rules.yaml_loader import load_yaml_model
 
 
 def load_rules(text: str, source: str = "rules") -> RuleSet:
--- a/packages/rattanfork-core/rattanfork_core/trace/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/__init__.py
@@ -1,9 +1,9 @@
 """Lines about requests: which are written, and what they tell afterwards."""
 
-from rattanfork_core.trace.budget import LogSampler
-from rattanfork_core.trace.line import LogLine, parse_line, parse_lines
+from rattanfork_core.trace.log_line import LogLine, parse_line, parse_lines
+from rattanfork_core.trace.log_sampler import LogSampler
 from rattanfork_core.trace.losses import Loss, LossReport, count_losses, loss_cause
-from rattanfork_core.trace.story import TraceEvent, trace_request
+from rattanfork_core.trace.request_trace import TraceEvent, trace_request
 from rattanfork_core.trace.summary import ReasonCount, count_reasons
 
 __all__ = [
--- a/packages/rattanfork-core/rattanfork_core/trace/losses.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/losses.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rattanfork_core.trace.line import LogLine
+from rattanfork_core.trace.log_line import LogLine
 
 #: Causes that are not the reason of a line as it stands.
 LATE = "late"
--- a/packages/rattanfork-core/rattanfork_core/trace/story.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/request_trace.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from rattanfork_core.trace.line import LogLine
+from rattanfork_core.trace.log_line import LogLine
 
 #: Lines that tell of a process and not of a request, and bear on all requests
 #: at their instance.
--- a/packages/rattanfork-core/rattanfork_core/trace/summary.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/summary.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rattanfork_core.trace.line import LogLine
+from rattanfork_core.trace.log_line import LogLine
 
 _COUNTED = ("request", "run")
 
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -5,10 +5,10 @@
 from random import Random, SystemRandom
 
 from rattanfork_core.admission import AdmissionSettings
-from rattanfork_core.atmostonce import TicketIssuer
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.idempotency import TicketIssuer
 from rattanfork_core.membership import CachedVersions, Member, Membership, MemberStatus
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.settings import NodeSettings
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import ConnectionCallLog
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
+from rattanfork_core.idempotency import ConnectionCallLog
 from rattanfork_core.request import CallResult, Importance
 from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from rattanfork_core.account import GateRetryBudget
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.clock import BootTimeClock, MonotonicClock
 from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import (
--- a/packages/rattanfork-node/rattanfork_node/guard/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/exchange.py
@@ -2,7 +2,7 @@
 
 import os
 
-from rattanfork_core.account import RequestBudget, RunContext
+from rattanfork_core.budgets import RequestBudget, RunContext
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import CallResult, Outcome, Reason
 from rattanfork_core.request.importance import RANK_LIMIT
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/guard.py
@@ -6,7 +6,6 @@
 from random import Random
 
 import aiohttp
-from rattanfork_core.account import RunContext
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -14,7 +13,11 @@
     Start,
     Waiter,
 )
-from rattanfork_core.atmostonce import (
+from rattanfork_core.budgets import RunContext
+from rattanfork_core.clock import Clock
+from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.hashing import hash64
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
     JoinRunning,
     KeyRegistry,
@@ -23,9 +26,6 @@
     TicketError,
     TicketIssuer,
 )
-from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import ThresholdCache
-from rattanfork_core.hashing import hash64
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
--- a/packages/rattanfork-node/rattanfork_node/guard/tests/test_guard.py
+++ b/packages/rattanfork-node/rattanfork_node/guard/tests/test_guard.py
@@ -5,8 +5,8 @@
 
 import uvloop
 from rattanfork_core.admission import AdmissionSettings
-from rattanfork_core.atmostonce import TicketIssuer
 from rattanfork_core.clock import MonotonicClock
+from rattanfork_core.idempotency import TicketIssuer
 from rattanfork_core.request import Importance, Outcome, Reason
 from rattanfork_node.guard import Guard, GuardRequest, UpstreamAnswer
 from rattanfork_node.telemetry import Counters
--- a/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/__init__.py
@@ -1,6 +1,6 @@
 """From a caller's request to its final answer, free of HTTP."""
 
-from rattanfork_core.account.callers import CallerTable
+from rattanfork_core.budgets.caller_table import CallerTable
 
 from rattanfork_node.ingress.dispatcher import Dispatcher
 from rattanfork_node.ingress.epochs import EpochBook
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from rattanfork_core.account import RequestBudget
+from rattanfork_core.budgets import RequestBudget
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import Member, Membership
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
@@ -3,12 +3,12 @@
 import asyncio
 from random import Random
 
-from rattanfork_core.account import RequestBudget, RunContext
-from rattanfork_core.account.callers import CallerTable
-from rattanfork_core.atmostonce import TicketError, TicketIssuer
+from rattanfork_core.budgets import RequestBudget, RunContext
+from rattanfork_core.budgets.caller_table import CallerTable
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.idempotency import TicketError, TicketIssuer
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_core.request import (
     CallResult,
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import TicketIssuer
+from rattanfork_core.idempotency import TicketIssuer
 from rattanfork_core.membership import Member
 
 from rattanfork_node.guard import Guard
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_gone.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/tests/test_gone.py
@@ -5,7 +5,7 @@
 "not run" though the claim had run, because this attempt had not been sent.
 """
 
-from rattanfork_core.account import RequestBudget
+from rattanfork_core.budgets import RequestBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance, Outcome, SendCall
 from rattanfork_node.ingress.dispatcher import Job, _gone
--- a/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from rattanfork_core.atmostonce import ConnectionCallLog
+from rattanfork_core.idempotency import ConnectionCallLog
 from rattanfork_core.request import FenceVerdict
 
 from rattanfork_node.peer.errors import FrameError
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from rattanfork_core.account import LocalRequestBudget
+from rattanfork_core.budgets import LocalRequestBudget
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterable
 
-from rattanfork_core.account import GateRetryBudget
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -10,6 +9,7 @@
     Start,
     Waiter,
 )
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import (
     OperationDependencies,
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account.callers import CallerTable
+from rattanfork_core.budgets.caller_table import CallerTable
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import Reason
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -4,7 +4,7 @@
 from functools import wraps
 from random import Random
 
-from rattanfork_core.account import GateRetryBudget
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import GateReportTable
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -5,7 +5,7 @@
 from itertools import product
 
 import pytest
-from rattanfork_core.account import GateRetryBudget
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
 from rattanfork_node.relay.tests.fakes import FakeLink, RelayHarness, on_loop
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account import RequestBudget
 from rattanfork_core.admission import AdmissionController
-from rattanfork_core.atmostonce import ConnectionCallLog, KeyRegistry
-from rattanfork_core.atmostonce.record import RunState
+from rattanfork_core.budgets import RequestBudget
+from rattanfork_core.idempotency import ConnectionCallLog, KeyRegistry
+from rattanfork_core.idempotency.record import RunState
 from rattanfork_core.request import FenceVerdict, RequestStateMachine
 
 from rattanfork_testkit.matrix.world import Parts
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/guard_run.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from rattanfork_core.admission import Start, Waiter
-from rattanfork_core.atmostonce import (
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
     ConnectionCallLog,
     JoinRunning,
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/world.py
@@ -5,10 +5,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from rattanfork_core.account import RequestBudget
 from rattanfork_core.admission import AdmissionController, AdmissionSettings
-from rattanfork_core.atmostonce import ConnectionCallLog, KeyRegistry, Ticket
+from rattanfork_core.budgets import RequestBudget
 from rattanfork_core.clock import ManualClock
+from rattanfork_core.idempotency import ConnectionCallLog, KeyRegistry, Ticket
 from rattanfork_core.request import CallResult, RequestStateMachine
 
 if TYPE_CHECKING:
