--- a/packages/rattanfork-core/rattanfork_core/idempotency/record.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/record.py
@@ -30,4 +30,4 @@
     digest: int
     state: RunState = RunState.WAITING
     result: CallResult | None = None
-    joined_calls: list[int] = field(default_factory=list)
+    joined: list[int] = field(default_factory=list)
