--- a/packages/rattanfork-core/rattanfork_core/request/state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.budgets import RequestBudget
+from rattanfork_core.budgets.request_budget import RequestBudget
 from rattanfork_core.request.attempt import Attempt, AttemptState
 from rattanfork_core.request.commands import (
     Command,
