--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from rattanfork_core.hints import GateReport, ServiceReports
+from rattanfork_core.gate_status import GateReport, ReportsByService
 from rattanfork_core.membership.cached_versions import CachedVersions
 from rattanfork_core.membership.direct_messages import (
     DIRECT_MESSAGE_TYPES,
@@ -80,7 +80,7 @@
     A gate is the admission control in front of one upstream.
     """
 
-    reports: ServiceReports
+    reports: ReportsByService
 
 
 class CrashUpdate(NamedTuple):
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_gate_report_task.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from rattanfork_core.clock import ManualClock
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import GateUpdate, Member, Membership
 from rattanfork_node.member.gate_report_task import GateReportTask
 
@@ -28,10 +28,10 @@
         me = record("n0")
         self.membership = Membership(self.clock, Random(1), me)
         self.membership.merge(record(f"n{n}") for n in range(1, size))
-        self.reports = GateReports(self.clock, me.name)
+        self.reports = GateReportTable(self.clock, me.name)
         self.sent = Sent()
         self.gate = SimpleNamespace(
-            accepting=True, own_cut=5.0, health=SimpleNamespace(impaired=False)
+            accepting=True, own_threshold=5.0, health=SimpleNamespace(impaired=False)
         )
         self.task = GateReportTask(self.reports, self.membership, self.sent, self.gate)
 
@@ -53,12 +53,12 @@
 
 def test_a_gate_that_sheds_tells_until_it_is_open_again():
     world = World()
-    world.gate.own_cut = 2.0
+    world.gate.own_threshold = 2.0
     world.tick(5)
     assert len(world.sent.news) == 5
     [report] = world.sent.news[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (100, False)
-    world.gate.own_cut = 5.0
+    world.gate.own_threshold = 5.0
     world.tick(60)
     told = len(world.sent.news)
     assert world.sent.news[-1][0].reports["s"][0].cut == 250
@@ -71,7 +71,7 @@
     world = World(size=100)
     world.task._tells_threshold = False
     world.task._view = world.membership.version
-    world.gate.own_cut, world.gate.health.impaired = 2.0, True
+    world.gate.own_threshold, world.gate.health.impaired = 2.0, True
     world.tick(5)
     [report] = world.sent.news[-1][0].reports["s"]
     assert (report.cut, report.impaired) == (250, True)
@@ -92,15 +92,15 @@
 
 def test_what_others_tell_is_passed_on():
     world = World()
-    other = GateReports(world.clock, "far@b")
-    other.report("deep", 1.0, impaired=True)
-    world.sent.on_reports(other.news())
+    other = GateReportTable(world.clock, "far@b")
+    other.update_own("deep", 1.0, impaired=True)
+    world.sent.on_reports(other.take_fresh())
     world.tick()
     assert "deep" in world.sent.news[0][0].reports
 
 
 def test_a_gate_that_takes_no_work_says_nothing():
     world = World()
-    world.gate.accepting, world.gate.own_cut = False, 1.0
+    world.gate.accepting, world.gate.own_threshold = False, 1.0
     world.tick(5)
     assert not world.sent.news
