--- a/packages/rattanfork-core/rattanfork_core/revision/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/__init__.py
@@ -1,4 +1,4 @@
-"""The accepted rules: committed once, spread, never backwards."""
+"""Accepted revisions of rules and configuration: commit, polling and freshness."""
 
 from rattanfork_core.revision.commit import (
     CommitMachine,
--- a/packages/rattanfork-core/rattanfork_core/revision/commit.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/commit.py
@@ -1,4 +1,4 @@
-"""The commit of a change of rules."""
+"""Commit of a new revision of the rules to the store."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,33 +7,36 @@
 
 
 class CommitStatus(IntEnum):
-    """How a commit ended."""
+    """Result of a commit."""
 
     ACCEPTED = 0
     CONFLICT = 1
-    #: The table does not answer: the change may or may not be accepted.
+    #: The table does not reply: the change may or may not have been accepted.
     UNKNOWN = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRow:
-    """Read a row of the table."""
+    """Step: read a row of the table."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class TryCommit:
-    """Write both rows in one transaction if the head has a given version."""
+    """Step: write head and history row in one transaction.
+
+    The transaction is refused unless the head row has version ``head_version``.
+    """
 
     head_version: int
     record: RulesRecord
 
     @property
     def writes(self) -> dict[str, dict[str, object]]:
-        """The rows to write.
+        """Rows to write, by key.
 
-        The head is read several times a second and has no text.
+        The head row has an empty text, as it is read several times a second.
         """
         row = self.record.as_row()
         head = {**row, "text": ""}
@@ -42,27 +45,34 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitOutcome:
-    """How a commit ended, and the revision that decided it."""
+    """Result of a commit, and the revision in the history row that decided it.
+
+    ``record`` is this change if it was accepted, the other operator's in a
+    conflict, and None if the result is unknown or the row was not found.
+    """
 
     status: CommitStatus
     record: RulesRecord | None
 
 
+#: What the caller has to do next, or the result.
 CommitStep = ReadRow | TryCommit | CommitOutcome
 
 
 class CommitMachine:
-    """Brings one change to an end that is certain.
+    """State machine that commits one change and establishes the result.
 
     Explanation
     ===========
 
-    The change is one transaction that compares the version of the head row.
-    An answer may be lost after the write took effect, and a write may take
-    effect late, so an absent row proves nothing.  The machine therefore
-    sends the same transaction again: it either commits, or is refused
-    because the head has moved on, and then the history row of this revision
-    tells by its operation ID whose change it was.
+    The change is one transaction, conditional on the version of the head row.
+    A reply may be lost after the write took effect, and a write may take effect
+    late, so an absent row proves nothing.  The machine therefore repeats the same
+    transaction.  It is either committed, or refused because the head row has a
+    newer version; then the operation ID in the history row of this revision shows
+    whose change was accepted.
+
+    This class does no I/O: methods return the next step or the result.
 
     Parameters
     ==========
@@ -72,7 +82,8 @@
     head_version : int
         Version of the head row that the change was made from.
     tries : int
-        How often an unanswered step is repeated.
+        Steps without a reply, over the whole commit, after which the result is
+        unknown.
 
     Examples
     ========
@@ -92,7 +103,7 @@
     def __init__(self, record: RulesRecord, head_version: int, tries: int = 5) -> None:
         self._record = record
         self._head_version = head_version
-        self._tries = tries
+        self._attempts_left = tries
         self._step: CommitStep = TryCommit(head_version, record)
 
     def start(self) -> CommitStep:
@@ -100,23 +111,23 @@
         return self._step
 
     def on_committed(self) -> CommitStep:
-        """Take note that the transaction took effect."""
+        """Handle a transaction that was committed."""
         return CommitOutcome(CommitStatus.ACCEPTED, self._record)
 
     def on_refused(self) -> CommitStep:
-        """Take note that the head has another version."""
+        """Handle a transaction that was refused because of the head row's version."""
         self._step = ReadRow(history_key(self._record.revision))
         return self._step
 
     def on_no_answer(self) -> CommitStep:
-        """Take note that the table did not answer."""
-        self._tries -= 1
-        if self._tries <= 0:
+        """Handle a step to which the table did not reply."""
+        self._attempts_left -= 1
+        if self._attempts_left <= 0:
             return CommitOutcome(CommitStatus.UNKNOWN, None)
         return self._step
 
     def on_row(self, found: RulesRecord | None) -> CommitStep:
-        """Take in the history row of this revision."""
+        """Handle the history row of this revision; None if there is none."""
         if found is not None and found.operation == self._record.operation:
             return CommitOutcome(CommitStatus.ACCEPTED, found)
         return CommitOutcome(CommitStatus.CONFLICT, found)
--- a/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
@@ -1,53 +1,53 @@
-"""When a node asks the store whether what it holds is still the newest."""
+"""Schedule by which nodes ask the store for newer versions, in place of each other."""
 
 from math import log, log2
 from random import Random
 
 from rattanfork_core.clock import Clock
 
-#: Seconds without a confirmation after which the first node of a group asks.  A
-#: change is to be in force within 2 s; from asking to the last peer's fetch it
-#: takes some 0.4 s, and one node that is paused or cut off just then may cost
-#: another turn.
-_LEAST_WAIT = 0.6
-#: Seconds over which the others of the group follow, should nobody be heard.
-_SPREAD = 0.5
-#: Seconds that a node outside the group waits, and more for each doubling of the
-#: fleet: news of the group reaches it on the datagrams of others, one round trip
-#: a second.
-_OUTSIDE_WAIT = 1.5
-_OUTSIDE_STEP = 0.5
-#: Seconds between two tries while the store does not answer: first and longest.
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 1.0
+#: Seconds after the last confirmation at which the first node of the group may ask.
+#: A change has to be in force everywhere within 2 s.  From the request to the last
+#: peer's fetch it takes some 0.4 s, and a second node has to have time to ask if the
+#: first one is suspended or cut off just then.
+_MIN_WAIT_S = 0.6
+#: Seconds over which the waits of the group are distributed above that.
+_WAIT_SPREAD_S = 0.5
+#: Seconds that a node outside the group waits, and seconds more for each doubling of
+#: the fleet: confirmations reach it on the probes of others, one round trip a second.
+_OUTSIDER_WAIT_S = 1.5
+_OUTSIDER_WAIT_PER_DOUBLING_S = 0.5
+#: First and longest pause in seconds between requests that the store does not answer.
+_FIRST_RETRY_S = 0.1
+_MAX_RETRY_S = 1.0
 
 
 class ConfirmationSchedule:
-    """Spaces the questions whether something newer was accepted.
+    """Schedules requests for confirmation that no newer version was accepted.
 
     Explanation
     ===========
 
-    A watch that the store has forgotten looks like one that has nothing to tell.
-    All watches can be lost at once, and then nobody in the fleet holds anything
-    newer that a peer could tell.  So somebody asks, all the time: a node whose
-    last confirmation is old draws a wait, asks when it is over, and tells the
-    others, who begin to wait anew.  Waits are drawn so that few end early,
-    whatever the size of the group; the number of questions a second depends
-    neither on the size of the fleet nor on any single node, and a node that
-    hears nobody asks for itself.
-
-    With all watches dead a change is in force everywhere after 0.7 s with 12 nodes
-    and after 1.2 s with 1,000, for about two questions a second of the whole fleet
-    (simulated with the real views, worst of three seeds); without it after 21.5 s,
-    when the watches end.
+    A watch that the store has lost cannot be told from one without events.  If all
+    watches are lost at once, no node has a newer version, so gossip does not help
+    either.  Therefore some node asks the store at any time, by feedback suppression
+    [1]_: each node of a group waits for a random time after the last confirmation,
+    then asks the store and sends the confirmation to the others, which start to
+    wait anew.  Waits are distributed so that few of them end early, whatever the
+    size of the group.  So the rate of requests depends neither on the size of the
+    fleet nor on any single node, and a node that receives no confirmations asks for
+    itself.
+
+    With all watches lost, a change is in force everywhere after 0.7 s with 12 nodes
+    and after 1.2 s with 1,000 nodes, at about two requests a second from the whole
+    fleet (simulated with the real membership views, worst of three seeds).  Without
+    this schedule it takes 21.5 s, until the watches time out.
 
     Parameters
     ==========
 
     clock : Clock
-        Source of the current time; one that goes on while the machine is
-        suspended, or a node that wakes takes an old word for a fresh one.
+        Source of the current time.  It must advance while the machine is suspended,
+        or a node takes an old confirmation for a recent one when it resumes.
     random : Random
         Source of the waits.
 
@@ -69,8 +69,8 @@
     References
     ==========
 
-    .. [1] Nonnenmacher, Biersack, "Scalable Feedback for Large Groups", 1999:
-       the exponential distribution of the waits.
+    .. [1] Nonnenmacher, Biersack, "Scalable Feedback for Large Groups", 1999.
+       The exponential distribution of the waits is from there.
     """
 
     def __init__(self, clock: Clock, random: Random) -> None:
@@ -78,89 +78,93 @@
         self._random = random
         self._confirmed_at = clock.now()
         self._confirmed = False
-        self._group = 1
-        self._outside_wait: float | None = None
-        self._begun_at = clock.now()
-        self._wait = self._draw()
-        self._not_before = clock.now()
-        self._pause = _FIRST_PAUSE
-        self._under_way = False
+        self._group_size = 1
+        self._outsider_wait: float | None = None
+        self._asked_at = clock.now()
+        self._wait = self._draw_wait()
+        self._retry_at = clock.now()
+        self._retry_pause = _FIRST_RETRY_S
+        self._in_progress = False
 
     @property
     def confirmed(self) -> bool:
-        """Whether the store's word was ever had; without it no age may be told.
+        """Whether any confirmation was received; until then, ``age`` must not be sent.
 
-        A node that starts while the store is away would pass its own start on as
-        the store's word, and the others would take it and ask less.
+        Otherwise a node that starts while the store is unavailable would send the
+        time since its start as the age of a confirmation, and the others would
+        put off their own requests.
         """
         return self._confirmed
 
     @property
     def age(self) -> float:
-        """Seconds since the store held nothing newer, or since the start."""
+        """Seconds since the last confirmation, or since the start if there was none."""
         return self._clock.now() - self._confirmed_at
 
     def set_group(self, group_size: int, fleet_size: int, is_member: bool) -> None:
-        """Take note of the size of the group that asks, and of the fleet.
+        """Set the sizes of the group and the fleet, and draw a new wait.
 
         Parameters
         ==========
 
         group_size : int
-            Nodes that ask in turn.
+            Number of nodes that ask the store in place of each other.
         fleet_size : int
-            All nodes.
+            Number of all nodes.
         is_member : bool
-            Whether this node is one of the group.
+            Whether this node belongs to the group; others wait longer.
         """
-        self._group = max(1, group_size)
-        outside = _OUTSIDE_WAIT + _OUTSIDE_STEP * log2(max(1, fleet_size))
-        self._outside_wait = None if is_member else outside
-        self._wait = self._draw()
+        self._group_size = max(1, group_size)
+        outsider_wait = _OUTSIDER_WAIT_S + _OUTSIDER_WAIT_PER_DOUBLING_S * log2(
+            max(1, fleet_size)
+        )
+        self._outsider_wait = None if is_member else outsider_wait
+        self._wait = self._draw_wait()
 
     def on_confirmation(self, age: float) -> None:
-        """Take note that the store held nothing newer some seconds ago."""
-        at = self._clock.now() - age
-        if not self._confirmed or at > self._confirmed_at:
+        """Record that the store held nothing newer ``age`` seconds ago."""
+        confirmed_at = self._clock.now() - age
+        if not self._confirmed or confirmed_at > self._confirmed_at:
             self._confirmed = True
-            self._confirmed_at = at
-            self._wait = self._draw()
+            self._confirmed_at = confirmed_at
+            self._wait = self._draw_wait()
 
     def schedule_now(self) -> None:
-        """Ask as soon as no failure forbids it."""
+        """Make a request due now, except during the pause after a failure."""
         self._wait = 0.0
 
     def due(self) -> bool:
-        """Return whether to ask now."""
+        """Return whether to ask the store now."""
         now = self._clock.now()
-        waited = now - self._confirmed_at >= self._wait
-        return waited and not self._under_way and now >= self._not_before
+        wait_is_over = now - self._confirmed_at >= self._wait
+        return wait_is_over and not self._in_progress and now >= self._retry_at
 
     def begin(self) -> None:
-        """Take note that a question is under way."""
-        self._under_way = True
-        self._begun_at = self._clock.now()
+        """Record that a request was sent."""
+        self._in_progress = True
+        self._asked_at = self._clock.now()
 
     def end(self, succeeded: bool) -> None:
-        """Take note of how the question ended.
+        """Record whether the request succeeded.
 
-        The answer is as of some moment since it was asked; that it was asked is
-        all that is certain.
+        The store may have read the version at any time since the request was sent,
+        so the confirmation counts from when it was sent.
         """
-        self._under_way = False
+        self._in_progress = False
         if succeeded:
-            self._pause = _FIRST_PAUSE
-            self.on_confirmation(self._clock.now() - self._begun_at)
+            self._retry_pause = _FIRST_RETRY_S
+            self.on_confirmation(self._clock.now() - self._asked_at)
             return
-        self._not_before = self._clock.now() + self._pause * self._random.uniform(
+        self._retry_at = self._clock.now() + self._retry_pause * self._random.uniform(
             0.7, 1.3
         )
-        self._pause = min(_LONGEST_PAUSE, 2 * self._pause)
-
-    def _draw(self) -> float:
-        # Of n waits so drawn, the first ends some way into the spread, and few
-        # others before its news has gone round.
-        rate = log(self._group) + 1
-        late = max(0.0, 1 + log(1 - self._random.random()) / rate)
-        least = _LEAST_WAIT if self._outside_wait is None else self._outside_wait
-        return least + _SPREAD * late
+        self._retry_pause = min(_MAX_RETRY_S, 2 * self._retry_pause)
+
+    def _draw_wait(self) -> float:
+        # The density of the waits grows exponentially towards the end of the spread:
+        # of n waits few end early, and the first ends before most others are near
+        # their end, so that its confirmation can still suppress them.
+        rate = log(self._group_size) + 1
+        fraction = max(0.0, 1 + log(1 - self._random.random()) / rate)
+        minimum = _MIN_WAIT_S if self._outsider_wait is None else self._outsider_wait
+        return minimum + _WAIT_SPREAD_S * fraction
--- a/packages/rattanfork-core/rattanfork_core/revision/lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/lease.py
@@ -1,32 +1,34 @@
-"""How lately the configuration of a node is known to have been the newest."""
+"""Lease on the configuration: limits how long a node may trust it unconfirmed."""
 
 from math import inf
 
 from rattanfork_core.clock import Clock
 
-#: Requests to peers whose replies are awaited.
-_MOST_AWAITED = 16
+#: Requests to peers that may await a reply; beyond that, the oldest is dropped.
+_MAX_PENDING_REQUESTS = 16
 
 
 class ConfigurationLease:
-    """Dates the newest proof that a node's configuration was the newest there is.
+    """Age of the last proof that no newer configuration had been accepted.
 
     Explanation
     ===========
 
-    A key that was taken away must be refused some seconds later by every node, also
-    by one that is partitioned, stood still, or whose store is silent.  So a node lets
-    a key in only while a proof is recent that nothing newer had been accepted.
+    A revoked API key must be refused by every node within some seconds, also by one
+    that is partitioned, was suspended, or gets no replies from the store.  So a node
+    accepts keys only while it has a recent proof that its configuration was the
+    newest.
 
-    A proof is dated by when it was *asked for*, on the node's own clock: from the
-    store, or from a peer that replies how old its own proof is.  What a peer volunteers
-    proves nothing, as a datagram may have waited unread while this node stood still.
+    A proof counts from when it was *requested*, on the node's own clock.  It comes
+    from the store, or from a peer that replies with the age of its own proof.
+    Unsolicited datagrams prove nothing: one may have waited in the socket's buffer
+    while this node was suspended.
 
     Parameters
     ==========
 
     clock : Clock
-        Source of the current time; one that goes on while the machine is suspended.
+        Source of the current time.  It must advance while the machine is suspended.
 
     Examples
     ========
@@ -41,7 +43,7 @@
     >>> lease.age
     2.0
 
-    A peer's proof was a second old when it replied to a request made just now:
+    A peer replies half a second after the request that its own proof was 1 s old:
 
     >>> number = lease.start_request()
     >>> clock.advance(0.5)
@@ -60,36 +62,37 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._confirmed_at = -inf
-        self._number = 0
-        self._asked: dict[int, float] = {}
+        self._last_number = 0
+        self._pending: dict[int, float] = {}
 
     @property
     def age(self) -> float:
-        """Seconds since nothing newer had been accepted; infinite if never known."""
+        """Seconds since the last proof; infinite if there was none."""
         return self._clock.now() - self._confirmed_at
 
     def now(self) -> float:
-        """Return the time by which proofs are dated."""
+        """Return the current time of the clock by which proofs are dated."""
         return self._clock.now()
 
     def confirm(self, asked_at: float) -> None:
-        """Take note that the store, asked at a time, held nothing newer."""
+        """Record that the store, asked at ``asked_at``, held nothing newer."""
         self._confirmed_at = max(self._confirmed_at, asked_at)
 
     def start_request(self) -> int:
-        """Take note of a request to a peer; return its number."""
-        self._number += 1
-        self._asked[self._number] = self._clock.now()
-        if len(self._asked) > _MOST_AWAITED:
-            del self._asked[min(self._asked)]
-        return self._number
+        """Record a request to a peer; return its number."""
+        self._last_number += 1
+        self._pending[self._last_number] = self._clock.now()
+        if len(self._pending) > _MAX_PENDING_REQUESTS:
+            del self._pending[min(self._pending)]
+        return self._last_number
 
     def on_reply(self, number: int, age: float) -> bool:
-        """Take in the age of a peer's proof; return whether it was asked for.
+        """Record the age of a peer's proof; return whether it was requested.
 
-        Only for a peer that holds nothing newer than this node.
+        The caller must have checked that the peer's configuration is no newer than
+        the one of this node.
         """
-        asked_at = self._asked.pop(number, None)
+        asked_at = self._pending.pop(number, None)
         if asked_at is None or age < 0:
             return False
         self.confirm(asked_at - age)
--- a/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
@@ -1,4 +1,4 @@
-"""When a reader asks the table."""
+"""Schedule of periodic requests to the table or to peers."""
 
 from random import Random
 
@@ -6,14 +6,25 @@
 
 
 class PollSchedule:
-    """Spaces the reads of one node; at most one is under way.
+    """Schedules the periodic requests of one node, at most one at a time.
 
     Explanation
     ===========
 
-    When the table is slow or down, each failure doubles the pause up to a
-    limit, with jitter, so that the readers of the fleet neither hammer a
-    table that is coming back nor do so together.
+    Each failure doubles the pause, up to a limit and with jitter.  So the nodes of
+    the fleet neither overload a table that is recovering nor ask it in step.
+
+    Parameters
+    ==========
+
+    clock : Clock
+        Source of the current time.
+    random : Random
+        Source of the jitter.
+    interval : float
+        Seconds between requests that succeed.
+    max_interval : float
+        Maximum seconds between requests while they fail.
 
     Examples
     ========
@@ -41,28 +52,28 @@
         self._clock = clock
         self._random = random
         self._interval = interval
-        self._longest = max_interval
+        self._max_interval = max_interval
         self._pause = interval
-        self._next = clock.now()
-        self._under_way = False
+        self._next_at = clock.now()
+        self._in_progress = False
 
     def due(self) -> bool:
-        """Return whether to read now."""
-        return not self._under_way and self._clock.now() >= self._next
+        """Return whether to send a request now."""
+        return not self._in_progress and self._clock.now() >= self._next_at
 
     def begin(self) -> None:
-        """Take note that a read is under way."""
-        self._under_way = True
+        """Record that a request was sent."""
+        self._in_progress = True
 
     def end(self, succeeded: bool) -> None:
-        """Take note of how the read ended."""
-        self._under_way = False
+        """Record whether the request succeeded, and schedule the next one."""
+        self._in_progress = False
         if succeeded:
             self._pause = self._interval
         else:
-            self._pause = min(self._longest, 2 * self._pause)
-        self._next = self._clock.now() + self._pause * self._random.uniform(0.8, 1.2)
+            self._pause = min(self._max_interval, 2 * self._pause)
+        self._next_at = self._clock.now() + self._pause * self._random.uniform(0.8, 1.2)
 
     def schedule_now(self) -> None:
-        """Read as soon as possible: there is news."""
-        self._next = min(self._next, self._clock.now())
+        """Make the next request due now; no effect while one is in progress."""
+        self._next_at = min(self._next_at, self._clock.now())
--- a/packages/rattanfork-core/rattanfork_core/revision/record.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/record.py
@@ -2,13 +2,14 @@
 
 from dataclasses import dataclass
 
+#: Key of the row that names the newest revision.
 HEAD_KEY = "rules/head"
-#: Revisions in one era.
-_SPAN = 1 << 32
+#: Factor of the era in the order of revisions; above any revision number.
+_REVISIONS_PER_ERA = 1 << 32
 
 
 def history_key(revision: int) -> str:
-    """Return the table key of a past revision.
+    """Return the key of the history row of a revision.
 
     Examples
     ========
@@ -27,18 +28,19 @@
     ==========
 
     revision : int
-        Number of the revision; 0 stands for no rules at all.
+        Number of the revision; 0 if there are no rules.
     operation : str
-        ID of the change that made it.
+        ID of the commit; tells apart two changes made from the same revision.
     author : str
-        Who made it.
+        Operator who made the change.
     comment : str
-        Why.
+        Operator's comment on the change.
     text : str
-        The whole YAML document.
+        The rules as a YAML document; empty in the head row.
     era : int
-        How often the store had been restored from a copy when it accepted this
-        revision.  Numbers that were lost with a restore are given out again.
+        Number of times that the store had been restored from a backup when it
+        accepted this revision.  A restored store reuses the revision numbers that
+        the backup does not contain.
 
     Examples
     ========
@@ -58,8 +60,8 @@
 
     @property
     def order(self) -> int:
-        """Place among all revisions that were ever accepted; a later one is higher."""
-        return self.era * _SPAN + self.revision
+        """Sort key of all revisions ever accepted: by era, then by number."""
+        return self.era * _REVISIONS_PER_ERA + self.revision
 
     def as_row(self) -> dict[str, object]:
         """Return the record as a row of the table."""
@@ -74,16 +76,16 @@
 
     @classmethod
     def from_row(cls, row: object) -> "RulesRecord":
-        """Return the record of a row.
+        """Return the record in a row of the table.
 
         Raises
         ======
 
         ValueError
-            If the row is not one of a rules record.
+            If the row is not a map, or a field is missing or has a wrong type.
         """
         if not isinstance(row, dict):
-            raise ValueError("rules row: a map is expected")
+            raise ValueError("rules row: map expected")
         revision, era = row.get("revision"), row.get("era", 0)
         texts = [row.get(k) for k in ("operation", "author", "comment", "text")]
         numbers = type(revision) is int and type(era) is int and era >= 0
--- a/packages/rattanfork-core/rattanfork_core/revision/state.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/state.py
@@ -1,4 +1,4 @@
-"""The revision in force at one node."""
+"""Revision of the rules that one node applies to requests."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class RevisionState:
-    """Holds the highest accepted revision that the node has seen.
+    """Holds the newest accepted revision that the node has received.
 
     Explanation
     ===========
 
-    Revisions only rise here, whatever order they are heard in.  A fresh node
-    holds none; it is *ready* once it has read the table, or once peers in
-    enough data centres have told it what they hold: one data centre alone
-    may have been cut off when the last change was accepted, and a node that
-    believed it would bring old rules back.
+    Revisions may be received in any order, and an older one never replaces a newer
+    one.  A node starts without any.  It is *ready* once it has read the table, or
+    once peers in enough data centres have sent their revisions: a single data
+    centre may have been partitioned off when the last change was accepted, and a
+    node that trusted it alone would apply outdated rules.
 
     Parameters
     ==========
 
     data_centres_needed : int
-        Data centres whose word replaces the table's.
+        Number of data centres whose peers make a node ready without the table.
 
     Examples
     ========
@@ -48,20 +48,20 @@
     """
 
     def __init__(self, data_centres_needed: int = 2) -> None:
-        self._needed = data_centres_needed
+        self._data_centres_needed = data_centres_needed
         self._record = RulesRecord(0, "", "", "", "")
         self._rules: RuleSet | None = None
-        self._heard: set[str] = set()
+        self._data_centres: set[str] = set()
         self._ready = False
 
     @property
     def revision(self) -> int:
-        """Number of the revision in force."""
+        """Number of the revision in force; 0 while there is none."""
         return self._record.revision
 
     @property
     def order(self) -> int:
-        """Its place among all revisions that were ever accepted."""
+        """Sort key of the revision in force, see :attr:`RulesRecord.order`."""
         return self._record.order
 
     @property
@@ -73,24 +73,24 @@
     def rules(self) -> RuleSet:
         """The rules in force."""
         if self._rules is None:
-            self._rules = _load(_NO_RULES, "no rules")
+            self._rules = _parse(_NO_RULES, "no rules")
         return self._rules
 
     @property
     def ready(self) -> bool:
-        """Whether the node may take work."""
+        """Whether the rules are known well enough to accept requests."""
         return self._ready
 
     def receive_from_store(
         self, record: RulesRecord | None, rules: RuleSet | None = None
     ) -> bool:
-        """Take in what the table holds; return whether the rules changed.
+        """Apply the table's revision if it is newer; return whether it was.
 
-        None stands for no rules, or for a revision that is held already.
-        ``rules`` are the record's, if its text was read before.
+        ``record`` is None if the table has no rules, or only the revision in force.
+        ``rules`` are the parsed rules of the record, if the caller has them.
         """
         self._ready = True
-        return self._offer(record, rules)
+        return self._apply_if_newer(record, rules)
 
     def receive_from_peer(
         self,
@@ -98,24 +98,26 @@
         record: RulesRecord | None,
         rules: RuleSet | None = None,
     ) -> bool:
-        """Take in what a ready peer holds; return whether the rules changed."""
-        changed = self._offer(record, rules)
-        self._heard.add(data_centre)
-        if len(self._heard) >= self._needed:
+        """Apply a ready peer's revision if it is newer; return whether it was."""
+        changed = self._apply_if_newer(record, rules)
+        self._data_centres.add(data_centre)
+        if len(self._data_centres) >= self._data_centres_needed:
             self._ready = True
         return changed
 
-    def _offer(self, record: RulesRecord | None, rules: RuleSet | None) -> bool:
+    def _apply_if_newer(
+        self, record: RulesRecord | None, rules: RuleSet | None
+    ) -> bool:
         if record is None or record.order <= self._record.order:
             return False
-        self._rules = rules or _load(record.text, f"revision {record.revision}")
+        self._rules = rules or _parse(record.text, f"revision {record.revision}")
         self._record = record
         return True
 
 
-def _load(text: str, name: str) -> RuleSet:
-    # Imported late: checking documents takes a library of 20 MB, which a node
-    # without rules never needs.
+def _parse(text: str, name: str) -> RuleSet:
+    # Imported here: validation of rules loads a library of 20 MB, which a node
+    # without rules does not need.
     from rattanfork_core.rules import load_rules
 
     return load_rules(text, name)
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
@@ -1,10 +1,10 @@
-"""The load of a fleet that asks the store in turn, and how old its word gets.
+"""Rate of requests to the store, and greatest age of a confirmation.
 
-The pattern: a change is accepted while every watch of the fleet is dead.  It is in
-force everywhere within 2 s if no node that hears its group goes longer than 1.5 s
-without a confirmation; some 0.4 s more go by until the last node has fetched it.
-The grounds of the figures: datagrams between nodes take 0.5 to 3 ms, a question
-some 10 ms, and a node looks at its schedule every 50 ms.
+A change that is accepted while all watches are lost has to be in force everywhere
+within 2 s.  It takes some 0.4 s until the last node has fetched it, so no node that
+receives the confirmations of its group may go without one for longer than 1.5 s.
+Simulated times: a datagram takes 0.5 to 3 ms, a request to the store some 10 ms, and
+a node polls its schedule every 50 ms.
 """
 
 from random import Random
@@ -15,16 +15,15 @@
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.revision import ConfirmationSchedule
 
-_TICK = 0.05
-_QUESTION = 0.01
-#: Seconds that a datagram takes.
-_CROSSING = 0.003
-_SECONDS = 60.0
-_OLDEST = 1.5
+_POLL_INTERVAL_S = 0.05
+_REQUEST_S = 0.01
+_DATAGRAM_S = 0.003
+_DURATION_S = 60.0
+_MAX_AGE_S = 1.5
 
 
 class Group:
-    """Nodes that ask in turn, on one clock."""
+    """Simulated group of nodes that ask the store in place of each other."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.clock = ManualClock()
@@ -35,93 +34,96 @@
         ]
         for schedule in self.schedules:
             schedule.set_group(size, size, is_member=True)
-        #: Where each node is in its tick.
-        self.offsets = [self.random.uniform(0, _TICK) for _ in range(size)]
+        self.first_polls = [
+            self.random.uniform(0, _POLL_INTERVAL_S) for _ in range(size)
+        ]
         self.cut_off: set[int] = set()
-        self.asked = 0
-        self.oldest = 0.0
+        self.requests = 0
+        self.max_age = 0.0
 
     def run(self, seconds: float) -> None:
-        """Let time pass; count the questions and note the oldest word."""
-        events = [(offset, n, "look") for n, offset in enumerate(self.offsets)]
+        """Simulate some seconds; count the requests and record the greatest age."""
+        events = [(at, n, "poll") for n, at in enumerate(self.first_polls)]
         end = self.clock.now() + seconds
-        begun: dict[int, float] = {}
+        sent: dict[int, float] = {}
         while events:
             events.sort()
-            at, node, what = events.pop(0)
+            at, node, kind = events.pop(0)
             if at > end:
                 break
             self.clock.advance(max(0.0, at - self.clock.now()))
             schedule = self.schedules[node]
-            if what == "look":
-                self.oldest = max(self.oldest, schedule.age)
-                events.append((at + _TICK, node, "look"))
+            if kind == "poll":
+                self.max_age = max(self.max_age, schedule.age)
+                events.append((at + _POLL_INTERVAL_S, node, "poll"))
                 if schedule.due():
                     schedule.begin()
-                    begun[node] = at
-                    events.append((at + _QUESTION, node, "answer"))
-            elif what == "answer":
-                self.asked += 1
+                    sent[node] = at
+                    events.append((at + _REQUEST_S, node, "answer"))
+            elif kind == "answer":
+                self.requests += 1
                 succeeded = node not in self.cut_off
                 schedule.end(succeeded)
                 if succeeded:
                     events += [
-                        (at + _CROSSING, other, "heard")
+                        (at + _DATAGRAM_S, other, "datagram")
                         for other in range(len(self.schedules))
                         if other != node
                     ]
             else:
-                schedule.on_confirmation(_QUESTION + _CROSSING)
+                schedule.on_confirmation(_REQUEST_S + _DATAGRAM_S)
 
 
 @pytest.mark.parametrize("size", [1, 3, 12, 20, 60])
-def test_a_group_asks_a_bounded_number_of_times_and_no_word_gets_old(size):
-    """Whatever its size, a group asks about twice a second.
+def test_group_of_any_size_keeps_rate_and_age_within_bounds(size):
+    """A group of any size sends about two requests a second.
 
-    The store takes two thousand reads a second from the whole fleet; a group of
-    sixty is that of fifteen data centres.
+    The store serves two thousand reads a second to the whole fleet; a fleet in
+    fifteen data centres has a group of sixty.
     """
     group = Group(size, seed=7)
-    group.run(_SECONDS)
-    assert group.oldest <= _OLDEST
-    assert group.asked <= 2.5 * _SECONDS
+    group.run(_DURATION_S)
+    assert group.max_age <= _MAX_AGE_S
+    assert group.requests <= 2.5 * _DURATION_S
 
 
 @pytest.mark.parametrize("share", [0.3, 0.7])
-def test_nodes_that_the_store_turns_away_do_not_make_the_others_words_old(share):
-    """The store answers some nodes and turns away the rest.
+def test_nodes_cut_off_from_the_store_do_not_raise_the_age_at_others(share):
+    """The store answers some nodes and refuses the others.
 
-    Those that are turned away ask in vain and pause; the others' turn comes
-    before any word is too old.
+    Refused nodes pause after each failure, so that another node of the group asks
+    before any confirmation is too old.
     """
     group = Group(12, seed=3)
     group.cut_off = set(range(int(12 * share)))
-    group.run(_SECONDS)
-    assert group.oldest <= _OLDEST
+    group.run(_DURATION_S)
+    assert group.max_age <= _MAX_AGE_S
 
 
 @given(
     st.lists(
-        st.tuples(st.floats(0, 3), st.sampled_from(["hear", "yes", "no"])),
+        st.tuples(
+            st.floats(0, 3), st.sampled_from(["confirmation", "success", "failure"])
+        ),
         max_size=40,
     )
 )
-def test_a_node_alone_asks_again_whatever_it_hears(events):
-    """Words of others only delay a question by what they confirm."""
+def test_node_without_new_confirmations_asks_again_after_any_history(events):
+    """A confirmation delays the next request only by kind it confirms."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
-    for seconds, what in events:
+    for seconds, kind in events:
         clock.advance(seconds)
-        if what == "hear":
+        if kind == "confirmation":
             schedule.on_confirmation(seconds)
         elif schedule.due():
             schedule.begin()
-            schedule.end(what == "yes")
-    clock.advance(_OLDEST)
+            schedule.end(kind == "success")
+    clock.advance(_MAX_AGE_S)
     assert schedule.due()
 
 
-def test_a_word_of_a_node_that_was_paused_does_not_make_a_younger_one_older():
+def test_old_confirmation_does_not_replace_a_newer_one():
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     clock.advance(0.5)
@@ -130,8 +132,8 @@
     assert schedule.age == pytest.approx(0.1)
 
 
-def test_the_first_word_heard_counts_from_when_it_was_the_stores():
-    """It may be older than the node that hears it."""
+def test_first_confirmation_may_be_older_than_the_node():
+    """Its age counts from the store's reply, not from when it was received."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     clock.advance(0.1)
@@ -141,8 +143,8 @@
     assert schedule.age == pytest.approx(0.4)
 
 
-def test_who_does_not_ask_waits_for_those_who_do():
-    """Of 17,000 nodes, sixty ask; the others would ask too if all were in turn."""
+def test_node_outside_the_group_waits_longer():
+    """Of 17,000 nodes sixty ask the store; the others ask only if these fail."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     schedule.set_group(60, 17_000, is_member=False)
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Proofs that a configuration is the newest, through partitions and pauses."""
+"""Proofs that a configuration is the newest, with partitions and suspended nodes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,8 +6,8 @@
 from rattanfork_core.revision import ConfigurationLease
 
 
-def test_late_reply_of_a_peer_is_dated_by_its_request():
-    """Guards against a datagram that waited while the node stood still."""
+def test_late_reply_of_a_peer_counts_from_its_request():
+    """Guards against a reply that waited in the socket while the node was suspended."""
     clock = ManualClock(100.0)
     lease = ConfigurationLease(clock)
     number = lease.start_request()
@@ -16,13 +16,13 @@
     assert round(lease.age, 3) == 8.1
 
 
-def test_reply_that_nobody_asked_for_proves_nothing():
+def test_unsolicited_reply_is_ignored():
     lease = ConfigurationLease(ManualClock(100.0))
     assert not lease.on_reply(7, 0.0)
     assert lease.age == float("inf")
 
 
-def test_reply_counts_once():
+def test_second_reply_to_a_request_is_ignored():
     lease = ConfigurationLease(ManualClock(100.0))
     number = lease.start_request()
     assert lease.on_reply(number, 1.0)
@@ -49,30 +49,30 @@
 
 
 @given(_EVENTS)
-def test_proof_is_never_later_than_the_first_change_that_a_node_has_not_seen(events):
-    """Four nodes, a store and datagrams that are late, lost or reordered.
+def test_proof_is_never_newer_than_a_change_that_the_node_lacks(events):
+    """Four nodes and a store, with datagrams that are late, lost or reordered.
 
-    Whatever a node's proof says, no configuration that the node does not hold had
-    been accepted by then.
+    At the time of a node's proof, no configuration that the node lacks had been
+    accepted.
     """
     clock = ManualClock(100.0)
     accepted = [clock.now()]
-    held = [1] * 4
+    versions = [1] * 4
     leases = [ConfigurationLease(clock) for _ in range(4)]
     requests: list[tuple[int, int, int]] = []
     for kind, node, other, seconds in events:
         if kind == "store":
             asked_at = leases[node].now()
-            held[node] = len(accepted)
+            versions[node] = len(accepted)
             clock.advance(seconds)
             leases[node].confirm(asked_at)
         elif kind == "ask":
             requests.append((node, other, leases[node].start_request()))
         elif kind == "deliver" and requests:
             asker, peer, number = requests.pop(other % len(requests))
-            version, age = held[peer], leases[peer].age
+            version, age = versions[peer], leases[peer].age
             clock.advance(seconds)
-            if version <= held[asker]:
+            if version <= versions[asker]:
                 leases[asker].on_reply(number, age)
         elif kind == "pause":
             clock.advance(seconds)
@@ -80,7 +80,7 @@
             clock.advance(0.001)
             accepted.append(clock.now())
         elif kind == "restart":
-            held[node], leases[node] = 1, ConfigurationLease(clock)
-        for version, lease in zip(held, leases, strict=True):
+            versions[node], leases[node] = 1, ConfigurationLease(clock)
+        for version, lease in zip(versions, leases, strict=True):
             if version < len(accepted):
                 assert clock.now() - lease.age <= accepted[version] + 1e-6
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
@@ -1,4 +1,4 @@
-"""An accepted change stays in force, whatever the table and operators do."""
+"""Accepted changes stay in force through store faults and concurrent commits."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 
 class FakeTable:
-    """A table whose answers get lost and whose writes come late."""
+    """Table that may lose replies and apply writes late."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[int, dict]] = {}
@@ -36,12 +36,12 @@
 
 
 FAULTS = st.lists(
-    st.sampled_from(["fine", "down", "answer lost", "applied late"]), max_size=12
+    st.sampled_from(["none", "down", "reply lost", "applied late"]), max_size=12
 )
 
 
 def commit(table: FakeTable, operation: str, faults: list[str], others=()):
-    """Commit one change under faults; others commit in between."""
+    """Commit one change with faults; ``others`` are called between its steps."""
     version, head = table.read(HEAD_KEY)
     revision = head["revision"] + 1 if head else 1
     record = RulesRecord(revision, operation, "ann", "", TEXT)
@@ -49,7 +49,7 @@
     step = machine.start()
     others = list(others)
     while not isinstance(step, CommitOutcome):
-        fault = faults.pop(0) if faults else "fine"
+        fault = faults.pop(0) if faults else "none"
         if others:
             others.pop(0)()
         if fault == "down":
@@ -63,18 +63,18 @@
             table.late.append(lambda sent=sent: table.transact(sent))
             step = machine.on_no_answer()
         else:
-            done = table.transact(step)
-            if fault == "answer lost":
+            committed = table.transact(step)
+            if fault == "reply lost":
                 step = machine.on_no_answer()
             else:
-                step = machine.on_committed() if done else machine.on_refused()
+                step = machine.on_committed() if committed else machine.on_refused()
     for late in table.late:
         late()
     return step
 
 
 @given(FAULTS)
-def test_accepted_means_committed_once(faults):
+def test_accepted_change_was_committed_exactly_once(faults):
     table = FakeTable()
     outcome = commit(table, "op1", faults)
     assert table.accepted.count("op1") <= 1
@@ -84,9 +84,9 @@
 
 
 @given(FAULTS, st.integers(1, 3))
-def test_of_two_operators_one_wins_and_the_other_sees_the_change(faults, place):
-    # Two operators change the rules at the same moment.  Were both told
-    # "accepted", one of the changes would silently be gone.
+def test_one_of_two_concurrent_commits_is_accepted(faults, place):
+    # Guards against a lost update: if both operators were told that their change
+    # was accepted, one of the changes would be overwritten unnoticed.
     table = FakeTable()
     theirs: list[CommitOutcome] = []
 
@@ -95,28 +95,28 @@
 
     idle = [lambda: None] * (place - 1)
     mine = commit(table, "mine", faults, [*idle, other])
-    told = [o.status for o in (mine, *theirs)]
+    statuses = [o.status for o in (mine, *theirs)]
     if mine.status is CommitStatus.CONFLICT:
         assert mine.record.operation == "theirs"
     if theirs and theirs[0].record and theirs[0].record.revision == 1:
-        assert told.count(CommitStatus.ACCEPTED) == 1 or (
+        assert statuses.count(CommitStatus.ACCEPTED) == 1 or (
             mine.status is CommitStatus.UNKNOWN
         )
 
 
 RECORDS = st.integers(0, 6).map(lambda n: RulesRecord(n, f"op{n}", "", "", TEXT))
-NEWS = st.lists(
+RECEIVED = st.lists(
     st.tuples(st.sampled_from(["store", "dc1", "dc2"]), st.none() | RECORDS)
 )
 
 
-@given(NEWS)
-def test_the_revision_in_force_never_goes_back(news):
-    # A replaced instance must not bring an old rule set back, in whatever
-    # order late messages and reads arrive.
+@given(RECEIVED)
+def test_revision_in_force_never_decreases(received):
+    # Guards against a peer that was down for a while and sends old rules: late
+    # messages and reads may arrive in any order.
     state = RevisionState()
     highest = 0
-    for source, record in news:
+    for source, record in received:
         before = state.revision
         if source == "store":
             state.receive_from_store(record)
@@ -127,15 +127,15 @@
     assert state.revision == highest
 
 
-@given(NEWS)
-def test_a_fresh_node_is_ready_by_the_table_or_two_data_centres(news):
+@given(RECEIVED)
+def test_new_node_is_ready_after_the_table_or_two_data_centres(received):
     state = RevisionState(data_centres_needed=2)
-    for source, record in news:
+    for source, record in received:
         if source == "store":
             state.receive_from_store(record)
         else:
             state.receive_from_peer(source, record)
-    sources = {source for source, _ in news}
+    sources = {source for source, _ in received}
     assert state.ready == ("store" in sources or sources >= {"dc1", "dc2"})
 
 
@@ -143,8 +143,8 @@
     st.lists(st.tuples(st.integers(1, 3), st.integers(1, 4)), min_size=1, max_size=12),
     st.randoms(),
 )
-def test_rules_in_force_never_go_back_across_restores(accepted, random):
-    """Guards against numbers of revisions that a restored store gives out again."""
+def test_rules_in_force_never_go_back_when_the_store_is_restored(accepted, random):
+    """Guards against revision numbers that a restored store uses a second time."""
     records = [
         RulesRecord(revision, f"{era}.{revision}", "ann", "", TEXT, era)
         for era, revision in accepted
@@ -165,7 +165,7 @@
     )
 
 
-def test_row_without_an_era_is_of_the_first():
+def test_row_without_an_era_has_era_zero():
     row = RulesRecord(3, "op", "ann", "", TEXT).as_row()
     del row["era"]
     assert RulesRecord.from_row(row).order == 3
