--- a/packages/rattanfork-core/rattanfork_core/quarantine/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the upstreams that run them."""
+"""Detection and refusal of requests that crash the upstreams that run them."""
 
 from rattanfork_core.quarantine.quarantine import Quarantine
 from rattanfork_core.quarantine.record import from_row, to_row
--- a/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are refused because upstreams crash under them."""
+"""Replicated set of requests that are refused because they crash upstreams."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -6,66 +6,70 @@
 from rattanfork_core.clock import Clock
 from rattanfork_core.quarantine.report import CrashReport, SuccessReport
 
-#: Crashes after which a request is quarantined: one may have another cause, or another
-#: request that was in flight as well.
-_CRASHES_NEEDED = 2
-#: Seconds of quarantine since the last crash, and their factor for each further crash.
-#: After that the request is let in once more, as by a half-open circuit breaker.
-_DURATION = 60.0
-_DURATION_GROWTH = 5.0
-_LONGEST_DURATION = 24 * 3600.0
-#: Seconds for which a success clears a request of the crashes after it.  A request that
-#: crashes upstreams does not succeed at others.
-_CLEARED_FOR = 60.0
-#: Seconds for which a success is remembered, so that older reports change nothing.
-_SUCCESS_KEPT_FOR = 600.0
-#: Seconds for which a suspect of a single crash is remembered.
-_SUSPECTED_FOR = 3600.0
-_MOST_SUSPECTS = 8192
-_MOST_CRASHES = 512
-#: Times that a node disseminates a new report; each node that receives it does so too.
-_TRANSMISSIONS = 3
-#: Fingerprints in one datagram, and how many of them the head of a report counts as.
-_MOST_FINGERPRINTS = 100
-_HEAD = 3
+#: Crashes after which a request is quarantined.  A single crash may have another cause,
+#: or be caused by another request that was in flight at the same time.
+_CRASH_THRESHOLD = 2
+#: Seconds of quarantine after the last crash, and factor for each further crash.  Then
+#: the request is accepted again, as by a half-open circuit breaker.
+_BASE_DURATION_S = 60.0
+_DURATION_FACTOR = 5.0
+_MAX_DURATION_S = 24 * 3600.0
+#: A success clears a request of all crashes before it, and of those in the following
+#: seconds: a request that crashes upstreams does not succeed at others.
+_SUCCESS_VALIDITY_S = 60.0
+#: Seconds for which a success is kept, to be compared with crash reports that are late.
+_SUCCESS_RETENTION_S = 600.0
+#: Seconds for which a suspect of a single crash is kept.
+_SUSPECT_RETENTION_S = 3600.0
+_MAX_SUSPECTS = 8192
+_MAX_CRASHES = 512
+#: Times that a node sends a new report; each node that receives it does the same.
+_TRANSMISSIONS_PER_NODE = 3
+#: Size limit of one datagram, as a number of fingerprints, and size of the other fields
+#: of a report in the same unit.
+_MAX_FINGERPRINTS_PER_DATAGRAM = 100
+_REPORT_OVERHEAD = 3
 
 
 @dataclass(slots=True)
 class _Suspect:
-    #: Incarnations that crashed while it was in flight.
+    #: Hashes of the upstream incarnations that crashed while it was in flight.
     crashes: set[int] = field(default_factory=set)
     last_crash: float = float("-inf")
 
     @property
     def quarantined_until(self) -> float:
-        further = len(self.crashes) - _CRASHES_NEEDED
-        if further < 0:
+        further_crashes = len(self.crashes) - _CRASH_THRESHOLD
+        if further_crashes < 0:
             return float("-inf")
-        # Bounded before the power, which overflows for large exponents.
-        duration = _DURATION * _DURATION_GROWTH ** min(further, 10)
-        return self.last_crash + min(duration, _LONGEST_DURATION)
+        # The exponent is bounded, as the power overflows for large ones.
+        duration = _BASE_DURATION_S * _DURATION_FACTOR ** min(further_crashes, 10)
+        return self.last_crash + min(duration, _MAX_DURATION_S)
 
 
 @dataclass(slots=True)
 class _Crash:
     at: float
     fingerprints: set[int] = field(default_factory=set)
-    #: Transmissions so far of what is still to be disseminated.
+    #: Number of transmissions so far, by fingerprint still to be disseminated.
     pending: dict[int, int] = field(default_factory=dict)
 
 
 class Quarantine:
-    """Knows the requests under which upstreams crash.
+    """Requests that were in flight at several crashes of upstreams.
 
     Explanation
     ===========
 
-    A request that crashes each upstream that runs it ("query of death") takes down a
-    whole service if every node treats each attempt as new.  Gates report the suspects
-    of each crash, nodes disseminate the reports, and a request that was in flight at
-    two crashes is refused everywhere.
+    A request that crashes every upstream that runs it ("query of death") takes down a
+    whole service if nodes retry it at other instances.  Therefore the gate in front
+    of a crashed upstream reports the suspects of the crash, nodes disseminate the
+    reports, and a request that was in flight at two crashes is refused by all nodes.
+    Requests are identified by their fingerprint, which is the same for each attempt.
 
-    Reports are a grow-only set, so their order and repetition do not matter.
+    Crash reports form a grow-only set, so their order and repetition do not matter.
+    Success reports clear suspects: a popular request may be in flight at two crashes
+    by chance.
 
     Parameters
     ==========
@@ -92,13 +96,13 @@
         self._clock = clock
         self._suspects: dict[int, _Suspect] = {}
         self._crashes: dict[int, _Crash] = {}
-        #: Suspects of enough crashes, also when their time is over.
+        #: Suspects that reached the threshold, also after their quarantine ended.
         self._repeated: set[int] = set()
-        #: Last successes of suspects, and transmissions of those to disseminate.
+        #: Times of the last successes, and transmissions of those to disseminate.
         self._successes: dict[int, float] = {}
         self._pending_successes: dict[int, int] = {}
         self._active_until = float("-inf")
-        self._next_report = 0
+        self._next_report_index = 0
         self._version = 0
 
     def __len__(self) -> int:
@@ -111,17 +115,17 @@
 
     @property
     def version(self) -> int:
-        """Grows whenever a request is quarantined, for longer, or no more."""
+        """Increases when a quarantine starts, is extended, or is lifted by a success."""
         return self._version
 
     @property
     def active(self) -> bool:
-        """Whether any request is quarantined now."""
+        """Whether any request may be quarantined now."""
         return self._clock.now() < self._active_until
 
     @property
     def fingerprints(self) -> list[int]:
-        """The requests that are quarantined now."""
+        """Fingerprints of the requests that are quarantined now."""
         now = self._clock.now()
         return [f for f in self._repeated if now < self._suspects[f].quarantined_until]
 
@@ -130,16 +134,17 @@
         return self.seconds_left(fingerprint) > 0
 
     def seconds_left(self, fingerprint: int) -> float:
-        """Return for how long a request is quarantined; 0 if it is not."""
+        """Return the seconds until a quarantine ends; 0 if there is none."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return 0.0
         return max(0.0, suspect.quarantined_until - self._clock.now())
 
     def may_retry(self, fingerprint: int) -> bool:
-        """Return whether a lost run may be retried at another upstream.
+        """Return whether a request may be retried after its upstream was lost.
 
-        A request that was quarantined before may crash one upstream at a time.
+        A request that was quarantined before is not retried, so that it crashes one
+        upstream at most when it is accepted again.
         """
         return fingerprint not in self._repeated
 
@@ -152,18 +157,18 @@
         incarnation : int
             Hash of the incarnation, see :func:`incarnation_hash`.
         fingerprints : iterable of int
-            The suspects.
+            Fingerprints of the suspects.
         """
         self._add(incarnation, self._clock.now(), fingerprints)
 
     def on_success(self, fingerprint: int) -> None:
-        """Record that the upstream beside this node ran a request with success."""
+        """Record that the upstream beside this node completed a request."""
         if fingerprint in self._suspects:
             self._clear(fingerprint, self._clock.now())
             self._pending_successes[fingerprint] = 0
 
     def receive_successes(self, reports: Iterable[SuccessReport]) -> bool:
-        """Merge successes seen by other nodes; return whether any of them is new."""
+        """Merge success reports of another node; return whether any of them is new."""
         now = self._clock.now()
         new = False
         for age, fingerprints in reports:
@@ -174,7 +179,7 @@
         return new
 
     def receive(self, reports: Iterable[CrashReport]) -> bool:
-        """Merge reports of another node; return whether any of them is new."""
+        """Merge crash reports of another node; return whether any of them is new."""
         now = self._clock.now()
         added = [
             self._add(r.incarnation, now - r.age / 1000, r.fingerprints)
@@ -183,27 +188,29 @@
         return any(added)
 
     def updates(self) -> list[CrashReport]:
-        """Return a datagram of new reports to disseminate."""
+        """Return one datagram of new crash reports, and count them as sent."""
         reports = []
-        room = _MOST_FINGERPRINTS
+        room = _MAX_FINGERPRINTS_PER_DATAGRAM
         for incarnation, crash in self._crashes.items():
-            chosen = list(crash.pending)[: max(0, room - _HEAD)]
+            chosen = list(crash.pending)[: max(0, room - _REPORT_OVERHEAD)]
             if not chosen:
                 continue
-            room -= _HEAD + len(chosen)
+            room -= _REPORT_OVERHEAD + len(chosen)
             for fingerprint in chosen:
                 crash.pending[fingerprint] += 1
-                if crash.pending[fingerprint] >= _TRANSMISSIONS:
+                if crash.pending[fingerprint] >= _TRANSMISSIONS_PER_NODE:
                     del crash.pending[fingerprint]
-            reports.append(self._report_of(incarnation, chosen))
+            reports.append(self._make_report(incarnation, chosen))
         return reports
 
     def success_updates(self) -> list[SuccessReport]:
-        """Return a datagram of successes to disseminate."""
-        chosen = list(self._pending_successes)[: _MOST_FINGERPRINTS // _HEAD]
+        """Return one datagram of new success reports, and count them as sent."""
+        chosen = list(self._pending_successes)[
+            : _MAX_FINGERPRINTS_PER_DATAGRAM // _REPORT_OVERHEAD
+        ]
         for fingerprint in chosen:
             self._pending_successes[fingerprint] += 1
-            if self._pending_successes[fingerprint] >= _TRANSMISSIONS:
+            if self._pending_successes[fingerprint] >= _TRANSMISSIONS_PER_NODE:
                 del self._pending_successes[fingerprint]
         now = self._clock.now()
         return [
@@ -213,40 +220,43 @@
         ]
 
     def anti_entropy(self) -> list[CrashReport]:
-        """Return a datagram of the reports on quarantined requests, old and new.
+        """Return one datagram of crash reports on the quarantined requests.
 
-        Sent about once a second, so that a node that has started or was partitioned
-        learns of them; if there are more, they take turns.
+        It is sent about once a second, for nodes that have just started or were
+        partitioned off.  If one datagram cannot hold all reports, successive calls
+        return them in turn.
         """
         reports = list(self.quarantined_reports())
-        room = _MOST_FINGERPRINTS
+        room = _MAX_FINGERPRINTS_PER_DATAGRAM
         chosen: list[CrashReport] = []
         for offset in range(len(reports)):
-            report = reports[(self._next_report + offset) % len(reports)]
-            cost = _HEAD + len(report.fingerprints)
-            if cost > room and chosen:
+            report = reports[(self._next_report_index + offset) % len(reports)]
+            size = _REPORT_OVERHEAD + len(report.fingerprints)
+            if size > room and chosen:
                 break
-            room -= cost
-            most = report.fingerprints[: _MOST_FINGERPRINTS - _HEAD]
-            chosen.append(report._replace(fingerprints=most))
-        self._next_report += len(chosen)
+            room -= size
+            first_fingerprints = report.fingerprints[
+                : _MAX_FINGERPRINTS_PER_DATAGRAM - _REPORT_OVERHEAD
+            ]
+            chosen.append(report._replace(fingerprints=first_fingerprints))
+        self._next_report_index += len(chosen)
         return chosen
 
     def quarantined_reports(self) -> Iterator[CrashReport]:
-        """Return all that is known of the requests that are quarantined now."""
+        """Return the crash reports on all requests that are quarantined now."""
         quarantined = set(self.fingerprints)
         for incarnation, crash in self._crashes.items():
             chosen = sorted(quarantined & crash.fingerprints)
             if chosen:
-                yield self._report_of(incarnation, chosen)
+                yield self._make_report(incarnation, chosen)
 
-    def _report_of(self, incarnation: int, fingerprints: list[int]) -> CrashReport:
+    def _make_report(self, incarnation: int, fingerprints: list[int]) -> CrashReport:
         age = self._clock.now() - self._crashes[incarnation].at
         return CrashReport(incarnation, max(0, int(age * 1000)), tuple(fingerprints))
 
     def _add(self, incarnation: int, at: float, fingerprints: Iterable[int]) -> bool:
         now = self._clock.now()
-        if now - at > _LONGEST_DURATION:
+        if now - at > _MAX_DURATION_S:
             return False
         crash = self._crashes.get(incarnation)
         at = crash.at if crash else at
@@ -260,65 +270,65 @@
         crash.fingerprints |= new
         for fingerprint in new:
             crash.pending[fingerprint] = 0
-            self._suspect(fingerprint, incarnation, crash.at)
+            self._add_suspect(fingerprint, incarnation, crash.at)
         return True
 
     def _cleared_until(self, fingerprint: int) -> float:
-        return self._successes.get(fingerprint, float("-inf")) + _CLEARED_FOR
+        return self._successes.get(fingerprint, float("-inf")) + _SUCCESS_VALIDITY_S
 
     def _clear(self, fingerprint: int, at: float) -> bool:
-        """Take a success into account; return whether it is the last one known."""
+        """Record a success; return whether it is later than the last one known."""
         if at <= self._successes.get(fingerprint, float("-inf")):
             return False
-        self._drop_old_successes()
+        self._limit_successes()
         self._successes[fingerprint] = at
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return True
         quarantined = self.contains(fingerprint)
         for incarnation in list(suspect.crashes):
-            if self._crashes[incarnation].at <= at + _CLEARED_FOR:
+            if self._crashes[incarnation].at <= at + _SUCCESS_VALIDITY_S:
                 self._forget(incarnation, fingerprint)
         if quarantined and not self.contains(fingerprint):
             self._version += 1
         return True
 
-    def _drop_old_successes(self) -> None:
-        if len(self._successes) >= _MOST_SUSPECTS:
-            oldest = self._clock.now() - _SUCCESS_KEPT_FOR
-            kept = {f: at for f, at in self._successes.items() if at > oldest}
-            self._successes = kept if len(kept) < _MOST_SUSPECTS else {}
+    def _limit_successes(self) -> None:
+        if len(self._successes) >= _MAX_SUSPECTS:
+            earliest = self._clock.now() - _SUCCESS_RETENTION_S
+            kept = {f: at for f, at in self._successes.items() if at > earliest}
+            self._successes = kept if len(kept) < _MAX_SUSPECTS else {}
 
-    def _suspect(self, fingerprint: int, incarnation: int, at: float) -> None:
+    def _add_suspect(self, fingerprint: int, incarnation: int, at: float) -> None:
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         suspect.crashes.add(incarnation)
         suspect.last_crash = max(suspect.last_crash, at)
-        if len(suspect.crashes) >= _CRASHES_NEEDED:
+        if len(suspect.crashes) >= _CRASH_THRESHOLD:
             self._repeated.add(fingerprint)
         if suspect.quarantined_until > self._clock.now():
             self._version += 1
             self._active_until = max(self._active_until, suspect.quarantined_until)
 
     def _make_room(self, now: float) -> None:
-        """Forget expired suspects, then those of one crash, then the oldest."""
+        """Drop expired suspects, then those of single crashes, then the oldest ones."""
         for incarnation, crash in list(self._crashes.items()):
             for fingerprint in list(crash.fingerprints):
                 repeated = fingerprint in self._repeated
-                kept_for = _LONGEST_DURATION if repeated else _SUSPECTED_FOR
-                if now - self._suspects[fingerprint].last_crash > kept_for:
+                retention = _MAX_DURATION_S if repeated else _SUSPECT_RETENTION_S
+                if now - self._suspects[fingerprint].last_crash > retention:
                     self._forget(incarnation, fingerprint)
-        for only_single in (True, False):
+        for singles_only in (True, False):
             for incarnation, crash in list(self._crashes.items()):
                 if self._has_room:
                     return
                 for fingerprint in list(crash.fingerprints):
-                    if fingerprint not in self._repeated or not only_single:
+                    if fingerprint not in self._repeated or not singles_only:
                         self._forget(incarnation, fingerprint)
 
     @property
     def _has_room(self) -> bool:
-        few_suspects = len(self._suspects) < _MOST_SUSPECTS
-        return few_suspects and len(self._crashes) < _MOST_CRASHES
+        has_suspect_room = len(self._suspects) < _MAX_SUSPECTS
+        return has_suspect_room and len(self._crashes) < _MAX_CRASHES
 
     def _forget(self, incarnation: int, fingerprint: int) -> None:
         crash = self._crashes[incarnation]
@@ -328,7 +338,7 @@
             del self._crashes[incarnation]
         suspect = self._suspects[fingerprint]
         suspect.crashes.discard(incarnation)
-        if len(suspect.crashes) < _CRASHES_NEEDED:
+        if len(suspect.crashes) < _CRASH_THRESHOLD:
             self._repeated.discard(fingerprint)
         if not suspect.crashes:
             del self._suspects[fingerprint]
--- a/packages/rattanfork-core/rattanfork_core/quarantine/record.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/record.py
@@ -1,24 +1,24 @@
-"""How the quarantine is kept in the store."""
+"""Encoding of the quarantine as a row of the store."""
 
 from collections.abc import Iterable
 
 from rattanfork_core.quarantine.report import CrashReport
 
-#: Fingerprints in one row, so that it stays well below the longest.
-_MOST_KEPT = 1000
+#: Limit that keeps a row well below the maximum size of the store.
+_MAX_FINGERPRINTS_PER_ROW = 1000
 _FIELD = "crashes"
 
 
 def to_row(reports: Iterable[CrashReport], now: int) -> dict[str, list]:
-    """Return the value of a row that holds some reports.
+    """Return the value of a row that holds crash reports.
 
     Parameters
     ==========
 
     reports : iterable of CrashReport
-        What is known of the requests that are quarantined.
+        The reports on quarantined requests.
     now : int
-        Time of day in Unix milliseconds.
+        Current Unix time in milliseconds.
 
     Examples
     ========
@@ -29,19 +29,19 @@
     >>> from_row(row, now=2600)
     [CrashReport(incarnation=255, age=1100, fingerprints=(1,))]
     """
-    kept: list[list] = []
-    room = _MOST_KEPT
+    crashes: list[list] = []
+    room = _MAX_FINGERPRINTS_PER_ROW
     for incarnation, age, fingerprints in reports:
         chosen = fingerprints[:room]
         room -= len(chosen)
         if chosen:
-            texts = [f"{fingerprint:x}" for fingerprint in chosen]
-            kept.append([f"{incarnation:x}", now - age, texts])
-    return {_FIELD: kept}
+            hex_fingerprints = [f"{fingerprint:x}" for fingerprint in chosen]
+            crashes.append([f"{incarnation:x}", now - age, hex_fingerprints])
+    return {_FIELD: crashes}
 
 
 def from_row(value: object, now: int) -> list[CrashReport]:
-    """Return the reports in the value of a row.
+    """Return the crash reports in the value of a row.
 
     Parameters
     ==========
@@ -49,29 +49,39 @@
     value : object
         The decoded value.
     now : int
-        Time of day in Unix milliseconds; one that is behind the writer's makes
-        reports younger than they are.
+        Current Unix time in milliseconds.  If this clock is behind the writer's,
+        reports seem more recent than they are.
 
     Raises
     ======
 
     ValueError
-        If the value does not hold reports.
+        If the value does not hold crash reports.
     """
     if not isinstance(value, dict) or not isinstance(value.get(_FIELD), list):
-        raise ValueError("not a record of the quarantine")
-    return [_read_report(fields, now) for fields in value[_FIELD]]
+        raise ValueError(
+            "record of the quarantine: map with a list of crashes expected"
+        )
+    return [_report_from_fields(fields, now) for fields in value[_FIELD]]
 
 
-def _read_report(fields: object, now: int) -> CrashReport:
+def _report_from_fields(fields: object, now: int) -> CrashReport:
     if not isinstance(fields, list) or len(fields) != len(CrashReport._fields):
-        raise ValueError("record of the quarantine: three fields expected")
-    incarnation, ended, texts = fields
-    if type(ended) is not int or not isinstance(texts, list):
-        raise ValueError("record of the quarantine: time and list expected")
+        raise ValueError(
+            "record of the quarantine: list of three fields expected for each crash"
+        )
+    hex_incarnation, crashed_at, hex_fingerprints = fields
+    if type(crashed_at) is not int or not isinstance(hex_fingerprints, list):
+        raise ValueError(
+            "record of the quarantine: crash time and list of fingerprints expected"
+        )
     try:
-        fingerprints = [int(text, 16) for text in texts]
-        number = int(incarnation, 16)
+        fingerprints = [int(text, 16) for text in hex_fingerprints]
+        incarnation = int(hex_incarnation, 16)
     except TypeError:
-        raise ValueError("record of the quarantine: texts expected") from None
-    return CrashReport.from_fields((number, max(0, now - ended), fingerprints))
+        raise ValueError(
+            "record of the quarantine: hexadecimal strings expected"
+        ) from None
+    return CrashReport.from_fields(
+        (incarnation, max(0, now - crashed_at), fingerprints)
+    )
--- a/packages/rattanfork-core/rattanfork_core/quarantine/report.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/report.py
@@ -1,15 +1,17 @@
-"""What nodes tell each other of upstreams that have crashed."""
+"""Reports of crashes and successes that nodes send each other."""
 
 from typing import NamedTuple
 
 from rattanfork_core.hashing import hash64
 
-#: Largest number that travels.
-_LARGEST = 1 << 64
+#: Numbers of a report are below this; msgpack integers have at most 64 bits.
+_INTEGER_LIMIT = 1 << 64
 
 
 class CrashReport(NamedTuple):
-    """Requests that may have ended one incarnation of an upstream.
+    """Requests that may have crashed one incarnation of an upstream.
+
+    An incarnation is one run of the upstream process.
 
     Parameters
     ==========
@@ -17,9 +19,10 @@
     incarnation : int
         Hash of the incarnation, see :func:`incarnation_hash`.
     age : int
-        Milliseconds since it ended.
+        Milliseconds since the crash.
     fingerprints : tuple of int
-        Requests that were under way; several reports of one incarnation add up.
+        Requests that were in flight.  Several reports of one incarnation are
+        combined.
     """
 
     incarnation: int
@@ -28,13 +31,13 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> "CrashReport":
-        """Return the report of a decoded datagram or row.
+        """Return the report in a decoded datagram or row.
 
         Raises
         ======
 
         ValueError
-            If the fields are not those of a report.
+            If the number, a type or a range of the fields is wrong.
 
         Examples
         ========
@@ -44,27 +47,27 @@
         >>> CrashReport.from_fields((7, -1, (1, 2)))
         Traceback (most recent call last):
         ...
-        ValueError: report of a crash: whole numbers expected
+        ValueError: crash report: integers from 0 to 2**64 - 1 expected
         """
         if not isinstance(fields, list | tuple) or len(fields) != len(cls._fields):
-            raise ValueError("not a report of a crash")
+            raise ValueError("crash report: three fields expected")
         incarnation, age, fingerprints = fields
         if not isinstance(fingerprints, list | tuple):
-            raise ValueError("report of a crash: list of fingerprints expected")
+            raise ValueError("crash report: list of fingerprints expected")
         for number in (incarnation, age, *fingerprints):
-            if type(number) is not int or not 0 <= number < _LARGEST:
-                raise ValueError("report of a crash: whole numbers expected")
+            if type(number) is not int or not 0 <= number < _INTEGER_LIMIT:
+                raise ValueError("crash report: integers from 0 to 2**64 - 1 expected")
         return cls(incarnation, age, tuple(fingerprints))
 
 
 class SuccessReport(NamedTuple):
-    """Suspects that an upstream has run with success.
+    """Suspects that an upstream completed without crashing.
 
     Parameters
     ==========
 
     age : int
-        Milliseconds since then.
+        Milliseconds since the success.
     fingerprints : tuple of int
         The requests.
     """
@@ -74,30 +77,30 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> "SuccessReport":
-        """Return the report of a decoded datagram.
+        """Return the report in a decoded datagram.
 
         Raises
         ======
 
         ValueError
-            If the fields are not those of a report.
+            If the number, a type or a range of the fields is wrong.
         """
         if not isinstance(fields, list | tuple) or len(fields) != len(cls._fields):
-            raise ValueError("not a report of a success")
-        # Checked as the same fields of a crash are.
+            raise ValueError("success report: two fields expected")
+        # Both fields are checked like those of a crash report.
         _, age, fingerprints = CrashReport.from_fields((0, *fields))
         return cls(age, fingerprints)
 
 
 def incarnation_hash(name: str, started: int) -> int:
-    """Return the hash that stands for one incarnation of an upstream.
+    """Return the hash that identifies one incarnation of an upstream.
 
     Parameters
     ==========
 
     name : str
-        ID of the upstream; a new start may keep it.
+        ID of the upstream; it may be the same after a restart.
     started : int
-        When it started, as it says; 0 if it does not.
+        Start time that the upstream announced; 0 if it did not.
     """
     return hash64(f"{name}/{started}")
--- a/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
@@ -1,27 +1,28 @@
-"""Which requests may have crashed an upstream."""
+"""Suspects of the crashes of one upstream, as seen by the gate in front of it."""
 
 from collections import deque
 from collections.abc import Iterable
 
 from rattanfork_core.clock import Clock
 
-#: Seconds between a lost run and the detection of a crash that it may have caused: an
-#: upstream that restarts at once is detected by its next announcement.
-_DETECTION_WINDOW = 3.0
-#: Seconds for which at least a success is remembered, and how many of them.
-_REMEMBERED_FOR = 60.0
-_MOST_REMEMBERED = 4096
+#: Maximum seconds between the loss of a request and the detection of the crash.  An
+#: upstream that restarts at once is only detected by its next announcement.
+_DETECTION_WINDOW_S = 3.0
+#: Successes are kept in two generations.  A new one is started after these seconds,
+#: or when the current one holds this many successes.
+_GENERATION_S = 60.0
+_MAX_GENERATION_SIZE = 4096
 
 
 class SuspectTracker:
-    """Names the requests that may have crashed the upstream of one gate.
+    """Tracks lost and completed requests of one gate, to name suspects of a crash.
 
     Explanation
     ===========
 
-    Every request in flight at a crash is a suspect, unless the same gate has seen it
-    succeed lately: a popular request is in flight at any moment, and must not be
-    suspected for that.
+    Every request in flight at a crash is a suspect, unless the same gate has recently
+    seen it succeed: a popular request is in flight most of the time, and so at most
+    crashes.
 
     Parameters
     ==========
@@ -45,42 +46,42 @@
         self._clock = clock
         self._lost: deque[tuple[float, int]] = deque()
         self._succeeded: set[int] = set()
-        self._succeeded_before: set[int] = set()
-        self._next_rotation = clock.now() + _REMEMBERED_FOR
+        self._previous_succeeded: set[int] = set()
+        self._next_rotation = clock.now() + _GENERATION_S
 
     def on_success(self, fingerprint: int) -> None:
-        """Record that a run succeeded."""
-        full = len(self._succeeded) >= _MOST_REMEMBERED
-        if full or self._clock.now() >= self._next_rotation:
-            self._succeeded_before, self._succeeded = self._succeeded, set()
-            self._next_rotation = self._clock.now() + _REMEMBERED_FOR
+        """Record that the upstream completed a request."""
+        is_full = len(self._succeeded) >= _MAX_GENERATION_SIZE
+        if is_full or self._clock.now() >= self._next_rotation:
+            self._previous_succeeded, self._succeeded = self._succeeded, set()
+            self._next_rotation = self._clock.now() + _GENERATION_S
         self._succeeded.add(fingerprint)
 
     def has_succeeded(self, fingerprint: int) -> bool:
-        """Return whether a run of the request succeeded lately."""
-        return fingerprint in self._succeeded or fingerprint in self._succeeded_before
+        """Return whether the upstream recently completed the request."""
+        return fingerprint in self._succeeded or fingerprint in self._previous_succeeded
 
     def on_lost(self, fingerprint: int) -> None:
-        """Record that a run ended, or was cancelled, without an answer."""
-        self._drop_old()
+        """Record that a request ended, or was cancelled, without a response."""
+        self._drop_expired()
         self._lost.append((self._clock.now(), fingerprint))
 
     def on_crash(self, in_flight: Iterable[int] = ()) -> frozenset[int]:
-        """Return the suspects of a crash.
+        """Return the suspects of a crash, and drop the losses recorded so far.
 
         Parameters
         ==========
 
         in_flight : iterable of int
-            Requests that still wait for the answer of the crashed upstream.
+            Requests that still wait for a response of the crashed upstream.
         """
-        self._drop_old()
+        self._drop_expired()
         lost = {fingerprint for _, fingerprint in self._lost}
         self._lost.clear()
         candidates = lost.union(in_flight)
         return frozenset(f for f in candidates if not self.has_succeeded(f))
 
-    def _drop_old(self) -> None:
-        oldest = self._clock.now() - _DETECTION_WINDOW
-        while self._lost and self._lost[0][0] < oldest:
+    def _drop_expired(self) -> None:
+        earliest = self._clock.now() - _DETECTION_WINDOW_S
+        while self._lost and self._lost[0][0] < earliest:
             self._lost.popleft()
--- a/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_quarantine.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined, for how long, and how reports of them travel."""
+"""Start, duration and end of quarantines, and dissemination of their reports."""
 
 import pytest
 from hypothesis import given
@@ -6,7 +6,7 @@
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.quarantine import CrashReport, Quarantine, SuccessReport
 
-FOREVER = 30 * 24 * 3600.0
+MONTH_S = 30 * 24 * 3600.0
 
 
 def quarantine_of(clock: ManualClock, crashes: int = 2) -> Quarantine:
@@ -17,8 +17,8 @@
     return quarantine
 
 
-def test_one_crash_quarantines_nobody():
-    """Guards against losing all that was in flight when an upstream just crashes."""
+def test_single_crash_quarantines_no_request():
+    """Guards against refusing all requests in flight at a crash with another cause."""
     quarantine = Quarantine(ManualClock())
     quarantine.report(1, range(50))
     assert not quarantine.active
@@ -33,8 +33,8 @@
     assert quarantine.may_retry(100)
 
 
-def test_same_crash_reported_twice_counts_once():
-    """Guards against reports that arrive over several nodes."""
+def test_crash_reported_twice_counts_once():
+    """The same report may be received from several nodes."""
     quarantine = Quarantine(ManualClock())
     quarantine.report(1, [7])
     assert not quarantine.receive([CrashReport(1, 20, (7,))])
@@ -53,8 +53,8 @@
     assert not quarantine.active
 
 
-def test_request_let_in_again_is_not_retried():
-    """Guards against a second upstream that crashes for the same test."""
+def test_request_accepted_again_after_its_quarantine_is_not_retried():
+    """Guards against a crash of a second upstream when the request is tested again."""
     clock = ManualClock()
     quarantine = quarantine_of(clock)
     clock.advance(400)
@@ -62,7 +62,7 @@
     assert not quarantine.may_retry(7)
 
 
-def test_crash_after_the_quarantine_renews_it_at_once():
+def test_crash_after_the_quarantine_starts_a_longer_one():
     clock = ManualClock()
     quarantine = quarantine_of(clock)
     clock.advance(400)
@@ -70,7 +70,7 @@
     assert quarantine.seconds_left(7) == 300
 
 
-def test_reports_age_by_the_clock_of_who_made_them():
+def test_age_in_a_report_shortens_the_quarantine_at_the_receiver():
     clock = ManualClock()
     source = quarantine_of(clock)
     clock.advance(50)
@@ -79,22 +79,22 @@
     assert other.seconds_left(7) == pytest.approx(10, abs=0.01)
 
 
-def test_reports_of_long_ago_are_ignored():
+def test_report_older_than_any_quarantine_is_ignored():
     quarantine = Quarantine(ManualClock())
-    month = int(FOREVER * 1000)
-    assert not quarantine.receive([CrashReport(1, month, (7,))])
+    month_ms = int(MONTH_S * 1000)
+    assert not quarantine.receive([CrashReport(1, month_ms, (7,))])
     assert len(quarantine) == 0
 
 
-def test_report_is_disseminated_a_few_times_only():
+def test_report_is_sent_three_times():
     quarantine = Quarantine(ManualClock())
     quarantine.report(1, [7])
     sent = [quarantine.updates() for _ in range(10)]
     assert [len(reports) for reports in sent] == [1, 1, 1] + 7 * [0]
 
 
-def test_crash_with_many_suspects_is_reported_in_parts():
-    """Guards against datagrams that are too long to arrive."""
+def test_crash_with_many_suspects_is_split_over_datagrams():
+    """Guards against datagrams above the size limit."""
     quarantine = Quarantine(ManualClock())
     quarantine.report(1, range(1000))
     received: set[int] = set()
@@ -105,7 +105,7 @@
     assert received == set(range(1000))
 
 
-def test_anti_entropy_brings_a_fresh_node_what_is_quarantined():
+def test_anti_entropy_transfers_the_quarantine_to_a_new_node():
     clock = ManualClock()
     source = quarantine_of(clock)
     fresh = Quarantine(clock)
@@ -114,7 +114,7 @@
     assert len(fresh) == 1
 
 
-def test_anti_entropy_covers_all_that_is_quarantined_in_turn():
+def test_anti_entropy_covers_all_quarantined_requests_in_turn():
     clock = ManualClock()
     source = Quarantine(clock)
     for incarnation in range(8):
@@ -127,14 +127,14 @@
     assert set(fresh.fingerprints) == set(source.fingerprints)
 
 
-def test_single_crash_needs_no_anti_entropy():
+def test_anti_entropy_omits_suspects_of_single_crashes():
     quarantine = Quarantine(ManualClock())
     quarantine.report(1, [7])
     assert quarantine.anti_entropy() == []
 
 
-def test_memory_is_bounded_and_keeps_what_is_quarantined():
-    """Guards against a wave of crashes that makes nodes forget deadly requests."""
+def test_quarantined_request_is_kept_when_memory_is_full():
+    """Guards against many crashes that displace a request already quarantined."""
     clock = ManualClock()
     quarantine = quarantine_of(clock)
     for incarnation in range(10, 1500):
@@ -145,7 +145,7 @@
     assert quarantine.contains(7)
 
 
-def test_single_crashes_are_forgotten_in_time():
+def test_suspect_of_a_single_crash_expires():
     clock = ManualClock()
     quarantine = Quarantine(clock)
     quarantine.report(1, [7])
@@ -198,12 +198,12 @@
         (1, -2, ()),
     ],
 )
-def test_malformed_report_is_refused(fields):
+def test_malformed_report_raises_value_error(fields):
     with pytest.raises(ValueError, match="report"):
         CrashReport.from_fields(fields)
 
 
-def test_success_elsewhere_clears_a_suspect():
+def test_success_between_two_crashes_clears_a_suspect():
     """Guards against the quarantine of a popular request in flight at two crashes."""
     clock = ManualClock()
     quarantine = Quarantine(clock)
@@ -223,7 +223,7 @@
     assert not quarantine.receive([CrashReport(1, 0, (7,))])
 
 
-def test_success_long_before_a_crash_clears_nobody():
+def test_success_long_before_a_crash_clears_no_suspect():
     clock = ManualClock()
     quarantine = Quarantine(clock)
     quarantine.report(1, [7])
@@ -234,7 +234,7 @@
     assert quarantine.contains(7)
 
 
-def test_successes_of_suspects_are_disseminated_a_few_times():
+def test_success_of_a_suspect_is_sent_three_times():
     clock = ManualClock()
     source, other = quarantine_of(clock), quarantine_of(clock)
     source.on_success(7)
@@ -264,7 +264,7 @@
         view = Quarantine(clock)
         for incarnation, age in events:
             if incarnation:
-                # Of one incarnation there is one crash.
+                # An incarnation crashes once, so its age is always the same.
                 reports = [CrashReport(incarnation, 50_000 * incarnation, (7,))]
                 view.receive(reports)
             else:
--- a/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_suspects.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_suspects.py
@@ -1,16 +1,16 @@
-"""Which requests are suspected when an upstream crashes."""
+"""Suspects of a crash: lost, in flight, recently successful and old requests."""
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.quarantine import SuspectTracker
 
 
-def test_what_was_lost_or_is_in_flight_is_suspected():
+def test_lost_and_in_flight_requests_are_suspects():
     tracker = SuspectTracker(ManualClock())
     tracker.on_lost(1)
     assert tracker.on_crash([2]) == {1, 2}
 
 
-def test_what_was_lost_long_before_is_not_suspected():
+def test_request_lost_long_before_is_no_suspect():
     clock = ManualClock()
     tracker = SuspectTracker(clock)
     tracker.on_lost(1)
@@ -19,15 +19,15 @@
     assert tracker.on_crash() == {2}
 
 
-def test_losses_before_an_earlier_crash_are_not_counted_again():
+def test_losses_before_an_earlier_crash_are_dropped():
     tracker = SuspectTracker(ManualClock())
     tracker.on_lost(1)
     tracker.on_crash()
     assert tracker.on_crash() == frozenset()
 
 
-def test_popular_request_that_succeeds_is_never_suspected():
-    """Guards against the refusal of what many callers ask for all the time."""
+def test_recently_successful_request_is_no_suspect():
+    """Guards against a quarantine of a popular request, in flight at most crashes."""
     clock = ManualClock()
     tracker = SuspectTracker(clock)
     for _ in range(300):
@@ -38,8 +38,8 @@
     assert tracker.on_crash() == {2}
 
 
-def test_success_long_ago_clears_nobody():
-    """Guards against a request that only a new release of the upstream can't run."""
+def test_success_long_ago_clears_no_suspect():
+    """Guards against a request that succeeded before, but crashes a new release."""
     clock = ManualClock()
     tracker = SuspectTracker(clock)
     tracker.on_success(1)
@@ -50,8 +50,8 @@
     assert tracker.on_crash() == {1}
 
 
-def test_memory_of_successes_is_bounded():
+def test_number_of_kept_successes_is_bounded():
     tracker = SuspectTracker(ManualClock())
     for request in range(20_000):
         tracker.on_success(request)
-    assert len(tracker._succeeded) + len(tracker._succeeded_before) <= 8192
+    assert len(tracker._succeeded) + len(tracker._previous_succeeded) <= 8192
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
@@ -109,7 +109,7 @@
     )
 )
 def test_node_without_new_confirmations_asks_again_after_any_history(events):
-    """A confirmation delays the next request only by kind it confirms."""
+    """A confirmation delays the next request only by what it confirms."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     for seconds, kind in events:
