--- a/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
@@ -115,7 +115,7 @@
 
     @property
     def version(self) -> int:
-        """Increases when a quarantine starts, is extended, or is lifted by a success."""
+        """Increases when a quarantine starts, is extended, or ends by a success."""
         return self._version
 
     @property
