--- a/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.gate_status.dependencies import OperationDependencies
 from rattanfork_core.gate_status.gate_reports import GateReportTable
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 
 class CallChainThresholds:
@@ -56,7 +56,7 @@
     def threshold(self, operation: str, service: str) -> float:
         """Return the rank from which the operation's chain would be broken."""
         if not len(self._reports):
-            return float(RANKS)
+            return float(RANK_LIMIT)
         return min(self.thresholds_by_service(operation, service).values())
 
     def thresholds_by_service(self, operation: str, service: str) -> dict[str, float]:
