--- a/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
@@ -1,4 +1,4 @@
-"""Versions of stored data that a node has cached, as sent on its datagrams."""
+"""Versions of rules and configuration at a node, as sent on its datagrams."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,15 @@
 
 
 class CachedVersions(NamedTuple):
-    """Versions that a node has cached, and when the store last confirmed them.
+    """Versions of rules and configuration at a node, and when they were confirmed.
 
     Explanation
     ===========
 
-    Nodes send this on every probe and reply.  A node that learns of a newer
-    version fetches it from the sender, and a node that learns of a recent
-    confirmation need not ask the store itself.
+    Rules and configuration are kept in the store and cached by each node.  Nodes
+    send this on every probe and ack: a node that learns of a newer version fetches
+    it from a peer, and one that learns of a recent confirmation need not ask the
+    store itself.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
@@ -1,8 +1,8 @@
-"""Requests to a single node and their replies, sent as gossip datagrams."""
+"""Requests for leases and quota tokens, and replies, sent between two nodes."""
 
 from typing import NamedTuple
 
-#: Integers of a datagram are below this.
+#: Exclusive upper bound of the integers in a message.
 _INTEGER_LIMIT = 1 << 62
 _MAX_NAME_CHARACTERS = 200
 
@@ -10,7 +10,7 @@
 class LeaseRequest(NamedTuple):
     """Asks for the version of the receiver's configuration and the age of its proof.
 
-    See :class:`~rattanfork_core.revision.ConfigurationLease`.
+    The proof is that of :class:`~rattanfork_core.revision.ConfigurationLease`.
     """
 
     number: int
--- a/packages/rattanfork-core/rattanfork_core/membership/member.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/member.py
@@ -50,8 +50,8 @@
     status : int
         A :class:`MemberStatus`.
     succession : int
-        Number of upstream processes that this node process has had so far; tells
-        what was learned of an earlier upstream from what holds for this one.
+        Number of upstream processes that this node process has had so far, so that
+        what was learned of an earlier one is not applied to the current one.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/membership/membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/membership.py
@@ -99,6 +99,7 @@
         self._me = me
         self._settings = settings
         self._members: dict[str, Member] = {}
+        #: Times at which members became suspect or dead.
         self._changed_at: dict[str, float] = {}
         self._digest = BucketDigest([])
         self._updates = UpdateQueue()
@@ -109,12 +110,14 @@
         self._probe: _Probe | None = None
         self._next_probe = clock.now()
         self._last_number = random.getrandbits(30)
+        #: Original number and sender of relayed probes, by the number of the relay.
         self._relayed: dict[int, tuple[int, tuple[str, int]]] = {}
+        #: Local health of Lifeguard: 0 is healthy, 8 the worst.
         self._local_health = 0
         self._version = 0
         self._push_pending = False
         self._next_push = clock.now()
-        #: Returns the versions that this node has cached, for its datagrams.
+        #: Returns the versions to send on datagrams.
         self.cached_versions: Callable[[], CachedVersions] = CachedVersions
         #: Called for each member that is new or changes its status, with its
         #: previous status; None for a new one.
@@ -188,11 +191,11 @@
             self._declare(name, MemberStatus.DEAD)
 
     def schedule_push(self) -> None:
-        """Push soon, such as after a new revision of the rules was fetched."""
+        """Make a push due, for example after newer rules were fetched."""
         self._push_pending = True
 
     def merge(self, members: Iterable[Member]) -> None:
-        """Merge records of an update or of another node's view."""
+        """Merge records from a datagram or from another node's view."""
         for member in members:
             if member.name == self._me.name:
                 self._refute(member)
@@ -207,7 +210,7 @@
         return [m for m in self._members.values() if bucket_of(m.name) in wanted]
 
     def tick(self) -> list[Send]:
-        """Start what is due and return the datagrams; call several times a period."""
+        """Advance probes, pushes and time-outs; call several times in each period."""
         now = self._clock.now()
         sends: list[Send] = []
         probe = self._probe
@@ -236,7 +239,7 @@
         return sends
 
     def on_message(self, message: GossipMessage, source: tuple[str, int]) -> list[Send]:
-        """Process a datagram and return the replies."""
+        """Process a datagram and return the datagrams to send in response."""
         self.merge([message.sender])
         self.merge(message.updates)
         if isinstance(message, Ping):
@@ -285,6 +288,7 @@
         if target is None:
             return []
         ping = self._ping(target)
+        # Entries whose ack was lost are not removed otherwise.
         if len(self._relayed) > 100:
             self._relayed.clear()
         self._relayed[ping.message.number] = (request.number, request.sender.address)
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -32,13 +32,13 @@
     ==========
 
     number : int
-        Chosen by the sender and repeated in the reply.
+        Chosen by the sender and repeated in the ack.
     sender : Member
         Record of the sending node.
     target : str
         Name of the member that is probed.
     versions : CachedVersions
-        What the sender has cached.
+        Versions of rules and configuration at the sender.
     updates : tuple of Member
         Membership updates piggybacked on the probe.
     """
@@ -54,7 +54,7 @@
     """Reply to a :class:`Ping`, or to a :class:`PingRequest` by the relaying member.
 
     ``target`` and ``versions`` are those of the member that was probed, which
-    differs from ``sender`` if the ack was relayed.
+    is not ``sender`` if the ack was relayed.
     """
 
     number: int
@@ -65,7 +65,7 @@
 
 
 class PingRequest(NamedTuple):
-    """Indirect probe: asks the receiver to ping ``target`` and relay its ack."""
+    """Indirect probe: the receiver pings ``target`` and relays its ack."""
 
     number: int
     sender: Member
@@ -166,9 +166,9 @@
     except Exception as error:
         raise ValueError("malformed datagram: unreadable content") from error
     if type(number) is not int:
-        raise ValueError("malformed datagram: integer expected as its number")
+        raise ValueError("malformed datagram: message number must be an integer")
     if not isinstance(target, str) or not isinstance(updates, tuple):
-        raise ValueError("malformed datagram: target and list of updates expected")
+        raise ValueError("malformed datagram: target name and list of updates expected")
     return message_type(
         number,
         Member.from_fields(sender),
--- a/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
@@ -43,8 +43,8 @@
 
     def __init__(self, membership: Membership, role: str, per_data_centre: int) -> None:
         self._membership = membership
-        self._duty = role
-        self._per_centre = per_data_centre
+        self._role = role
+        self._per_data_centre = per_data_centre
         self._version = -1
         self._names: list[str] = []
         self._fleet_size = 0
@@ -87,7 +87,7 @@
             names_by_centre.setdefault(member.data_centre, []).append(member.name)
         self._fleet_size = sum(len(names) for names in names_by_centre.values())
         groups = (
-            role_holders(names, self._duty, self._per_centre)
+            role_holders(names, self._role, self._per_data_centre)
             for names in names_by_centre.values()
         )
         self._names = [name for group in groups for name in group]
--- a/packages/rattanfork-core/rattanfork_core/membership/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/settings.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Settings of the membership protocol.
+    """Time-outs and fan-outs of failure detection and dissemination.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/membership/update_queue.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/update_queue.py
@@ -17,8 +17,8 @@
 
     This is the dissemination component of SWIM.  A datagram carries a bounded
     number of updates, so the cost of a node grows neither with the fleet nor
-    with the rate of changes.  Updates that were sent least often go first, after
-    those of members that leave: only these stop new requests to a member.
+    with the rate of changes.  Updates of leaving members go first, as they stop
+    new requests to these members; then those with the most transmissions left.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
@@ -222,9 +222,9 @@
     def anti_entropy(self) -> list[CrashReport]:
         """Return one datagram of crash reports on the quarantined requests.
 
-        It is sent about once a second, for nodes that have just started or were
-        partitioned off.  If one datagram cannot hold all reports, successive calls
-        return them in turn.
+        The caller sends it about once a second, for nodes that have just started or
+        were partitioned off.  If one datagram cannot hold all reports, successive
+        calls return them in turn.
         """
         reports = list(self.quarantined_reports())
         room = _MAX_FINGERPRINTS_PER_DATAGRAM
--- a/packages/rattanfork-core/rattanfork_core/quarantine/record.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/record.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.quarantine.report import CrashReport
 
-#: Limit that keeps a row well below the maximum size of the store.
+#: Limit that keeps a row well below the store's maximum row size.
 _MAX_FINGERPRINTS_PER_ROW = 1000
 _FIELD = "crashes"
 
--- a/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
@@ -21,8 +21,8 @@
     ===========
 
     Every request in flight at a crash is a suspect, unless the same gate has recently
-    seen it succeed: a popular request is in flight most of the time, and so at most
-    crashes.
+    seen it succeed: a popular request is in flight most of the time, and therefore
+    also at crashes that it did not cause.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/revision/commit.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/commit.py
@@ -1,4 +1,4 @@
-"""Commit of a new revision of the rules to the store."""
+"""Commit of a new revision of the rules to a table of the store."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,7 +7,7 @@
 
 
 class CommitStatus(IntEnum):
-    """Result of a commit."""
+    """Status of a commit that has ended."""
 
     ACCEPTED = 0
     CONFLICT = 1
--- a/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
@@ -1,4 +1,4 @@
-"""Schedule by which nodes ask the store for newer versions, in place of each other."""
+"""Schedule of the requests by which a few nodes check the store for changes."""
 
 from math import log, log2
 from random import Random
@@ -10,13 +10,13 @@
 #: peer's fetch it takes some 0.4 s, and a second node has to have time to ask if the
 #: first one is suspended or cut off just then.
 _MIN_WAIT_S = 0.6
-#: Seconds over which the waits of the group are distributed above that.
+#: Width in seconds of the interval, from the minimum on, from which waits are drawn.
 _WAIT_SPREAD_S = 0.5
 #: Seconds that a node outside the group waits, and seconds more for each doubling of
 #: the fleet: confirmations reach it on the probes of others, one round trip a second.
 _OUTSIDER_WAIT_S = 1.5
 _OUTSIDER_WAIT_PER_DOUBLING_S = 0.5
-#: First and longest pause in seconds between requests that the store does not answer.
+#: First and longest pause in seconds after a request that the store did not answer.
 _FIRST_RETRY_S = 0.1
 _MAX_RETRY_S = 1.0
 
@@ -27,15 +27,15 @@
     Explanation
     ===========
 
-    A watch that the store has lost cannot be told from one without events.  If all
-    watches are lost at once, no node has a newer version, so gossip does not help
-    either.  Therefore some node asks the store at any time, by feedback suppression
-    [1]_: each node of a group waits for a random time after the last confirmation,
-    then asks the store and sends the confirmation to the others, which start to
-    wait anew.  Waits are distributed so that few of them end early, whatever the
-    size of the group.  So the rate of requests depends neither on the size of the
-    fleet nor on any single node, and a node that receives no confirmations asks for
-    itself.
+    Nodes normally learn of changes by a watch on the store, or from
+    peers.  A watch that the store has lost looks like one without events, and if all
+    watches are lost at once, no peer has a newer version either.  So nodes also ask
+    the store, with feedback suppression [1]_: each node of a small group waits for a
+    random time after the last confirmation, then asks the store and sends the
+    confirmation to the others, which start to wait anew.  Waits are distributed so
+    that few of them end early, whatever the size of the group.  So the rate of
+    requests depends neither on the size of the fleet nor on any single node.  A node
+    that receives no confirmations asks for itself.
 
     With all watches lost, a change is in force everywhere after 0.7 s with 12 nodes
     and after 1.2 s with 1,000 nodes, at about two requests a second from the whole
--- a/packages/rattanfork-core/rattanfork_core/revision/lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/lease.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.clock import Clock
 
-#: Requests to peers that may await a reply; beyond that, the oldest is dropped.
+#: Maximum number of requests that await a reply; the oldest one is dropped first.
 _MAX_PENDING_REQUESTS = 16
 
 
--- a/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
@@ -1,4 +1,4 @@
-"""Schedule of periodic requests to the table or to peers."""
+"""Schedule of periodic requests for newer rules, to the store or to peers."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
     ===========
 
     Each failure doubles the pause, up to a limit and with jitter.  So the nodes of
-    the fleet neither overload a table that is recovering nor ask it in step.
+    the fleet neither overload a store that is recovering nor ask it in step.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/revision/state.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/state.py
@@ -19,10 +19,10 @@
     ===========
 
     Revisions may be received in any order, and an older one never replaces a newer
-    one.  A node starts without any.  It is *ready* once it has read the table, or
-    once peers in enough data centres have sent their revisions: a single data
-    centre may have been partitioned off when the last change was accepted, and a
-    node that trusted it alone would apply outdated rules.
+    one.  A node starts without any.  It is *ready* once it has read the table of
+    rules in the store, or once peers in enough data centres have sent their
+    revisions.  A single data centre may have been partitioned off when the last
+    change was accepted, and a node that trusted it alone would apply outdated rules.
 
     Parameters
     ==========
