--- a/packages/rattanfork-node/rattanfork_node/relay/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/__init__.py
@@ -1,7 +1,7 @@
-"""The path of a request by routes: from a client to an upstream and back.
+"""Request path of a routing node: accepts, admits, forwards and runs requests.
 
-Requests are carried by callbacks, without a task for each, because this path
-decides what the system costs.
+Requests are driven by callbacks instead of one asyncio task each, because the
+cost per request of this path dominates the CPU use of a node.
 """
 
 from rattanfork_node.relay.client_accounts import ClientAccounts
--- a/packages/rattanfork-node/rattanfork_node/relay/admitted_request.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/admitted_request.py
@@ -1,4 +1,4 @@
-"""A request that was let in, with what was decided for it."""
+"""Routing and admission decisions on a request, and records of its attempts."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 
 
 @dataclass(slots=True, eq=False)
-class Admitted:
-    """A request that was let in, with what was decided for it.
+class AdmittedRequest:
+    """Routing and admission decisions on a request that is being forwarded.
 
     Parameters
     ==========
 
     route : Route
-        Its route, as rules have changed it.
+        Its route, after rules were applied.
     service : str
-        The service that it goes to.
+        The service that it is forwarded to.
     operation : str
-        Route and service, the unit in which thresholds are kept.
+        Route and service, the key under which admission thresholds are kept.
     rank : float
-        Its place in the order of shedding.
+        Shedding order: higher ranks are shed first.
     began : float
         Time of its arrival, in seconds of the clock.
     deadline : float
-        Time by which the answer must be out, in seconds of the clock.
+        Time by which the response must be sent, in seconds of the clock.
     parent : Job or None
-        The run that made the request, if an upstream did.
+        The run at this node's upstream that made the request; None for a caller's
+        own request.
     picker : InstancePicker
-        Chooses among the instances of the service.
+        Load balancer over the instances of the service.
     blocked : frozenset of str
-        Instances that would shed the request.
+        Instances that are expected to shed the request.
     ruled_out : frozenset of str
-        Instances that a rule forbids.
+        Instances that a rule excludes.
     rule : str
-        Name of the rule that decided; "" if none did.
+        Name of the rule that was applied; "" if there are no rules.
     """
 
     route: Route
@@ -58,8 +59,8 @@
     rule: str = ""
 
 
-class Attempted(NamedTuple):
-    """An attempt that has ended, for the log.
+class AttemptRecord(NamedTuple):
+    """An attempt that has ended, for the request log.
 
     Parameters
     ==========
@@ -67,11 +68,11 @@
     member : str
         Name of the member that it was sent to.
     reason : Reason
-        Why it ended so.
+        Reason of its outcome.
     status : int
-        Status of the answer; 0 without one.
+        HTTP status of the response; 0 without one.
     seconds : float
-        How long it took.
+        Duration.
     """
 
     member: str
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -1,4 +1,4 @@
-"""Tells who sends a request, and holds client accounts to their quotas."""
+"""Authenticates callers by API key and enforces the quotas of client accounts."""
 
 from __future__ import annotations
 
@@ -23,36 +23,37 @@
 _UNAUTHENTICATED_STATUS = 401
 _QUOTA_STATUS = 429
 _NOT_RUN_STATUS = 503
-#: Part of the time in which a key must be out of use everywhere, up to which a proof
-#: counts; the rest is for what a clock may be off.
-_PROOF_PART = 0.9
-#: Longest time, in seconds, for which a request with an unknown key waits for proof
-#: that no newer configuration holds it, and requests that may wait so.
-_KEY_PATIENCE = 1.0
-_MOST_WAITING = 256
-#: Age of the proof, in seconds, up to which a key is called unknown after that.
-_RECENT = 1.5
-#: Seconds after which a caller comes back to a node without a recent proof.
-_UNCONFIRMED_RETRY = 0.5
-#: Seconds without a refusal after which an account is within its quota again, and
-#: accounts that are logged at a time.
-_WITHIN_AFTER = 5.0
-_MOST_LOGGED = 64
+#: Largest age of a configuration's confirmation with which a key is accepted, as a
+#: share of the revocation bound; the rest allows for clock error.
+_CONFIRMATION_AGE_SHARE = 0.9
+#: Bounds of the wait of requests with unknown keys for a confirmation that no newer
+#: configuration has the key: the time, and the number of requests.
+_MAX_KEY_WAIT_S = 1.0
+_MAX_WAITING_REQUESTS = 256
+#: Largest age of a confirmation with which an unknown key is answered 401 without
+#: a newer confirmation.
+_RECENT_CONFIRMATION_S = 1.5
+#: Retry-After of a node without a recent confirmation.
+_UNCONFIRMED_RETRY_S = 0.5
+#: Time without a refusal after which an account counts as within its quota again, and
+#: bound on the over-quota accounts that are tracked for the log.
+_QUOTA_QUIET_S = 5.0
+_MAX_LOGGED_ACCOUNTS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is not let in.
+    """Response to a request that is refused for its key or quota.
 
     Parameters
     ==========
 
     status : int
-        Status of the answer.
+        HTTP status.
     reason : Reason
-        Why.
+        Reason of the refusal.
     retry_after : float
-        Seconds after which the caller should come back; 0 for never.
+        Value of Retry-After, in seconds; 0 if the caller should not retry.
     """
 
     status: int
@@ -61,15 +62,15 @@
 
 
 _UNAUTHENTICATED = Refusal(_UNAUTHENTICATED_STATUS, Reason.UNAUTHENTICATED)
-_UNCONFIRMED = Refusal(_NOT_RUN_STATUS, Reason.UNCONFIRMED, _UNCONFIRMED_RETRY)
+_UNCONFIRMED = Refusal(_NOT_RUN_STATUS, Reason.UNCONFIRMED, _UNCONFIRMED_RETRY_S)
 
-LetIn = Callable[["Exchange", "Route"], None]
-Refuse = Callable[["Exchange", "Route", Refusal], None]
+AcceptCallback = Callable[["Exchange", "Route"], None]
+RefuseCallback = Callable[["Exchange", "Route", Refusal], None]
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A request with a key that is not known here, or not yet."""
+class _WaitingRequest:
+    """A request whose key is not in the configuration in force."""
 
     exchange: Exchange
     route: Route
@@ -77,15 +78,18 @@
 
 
 class ClientAccounts:
-    """Finds the account of each caller's request and asks its quota.
+    """Authenticates each caller's request and takes it from its account's quota.
 
     Explanation
     ===========
 
     A key is looked up once, at the node where the request enters; other nodes and
-    upstreams get the name of the account.  A key counts only while there is recent
-    proof that it has not been taken away.  A key that is not known is unknown only
-    once a newer proof is there, as the caller won't try again after that answer.
+    upstreams receive the name of the account.  A key is accepted only while the
+    configuration was recently confirmed to be the newest, so that a revoked key is
+    rejected within the bound also at a partitioned node.  A request with an unknown
+    key waits for a confirmation that is newer than the request before it is answered
+    401, because callers don't retry after that status and the key may just have been
+    added.
 
     Parameters
     ==========
@@ -95,16 +99,16 @@
     configuration : ConfigurationHolder
         The configuration in force.
     lease : ConfigurationLease
-        How recent the proof is that it is the newest.
+        Age of the last confirmation that the configuration is the newest.
     quota : Quota
-        Holds accounts to their limits.
+        Grants requests of accounts within their rates.
     counters : Counters
-        What happened.
+        Counters of the node.
     revoke_within : float or None
-        Seconds in which a key that was taken away must be out of use at every node;
-        None if that binds only nodes that reach the store.
-    want_proof : callable
-        Has a newer proof fetched soon.
+        Seconds within which every node must reject a revoked key; None if only
+        nodes that reach the store are bound.
+    request_confirmation : callable
+        Has a newer confirmation fetched soon.
     """
 
     def __init__(
@@ -115,74 +119,77 @@
         quota: Quota,
         counters: Counters,
         revoke_within: float | None,
-        want_proof: Callable[[], None],
+        request_confirmation: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._configuration = configuration
         self._lease = lease
         self._quota = quota
         self._counters = counters
-        self._oldest_proof = (
-            None if revoke_within is None else _PROOF_PART * revoke_within
+        self._max_confirmation_age = (
+            None if revoke_within is None else _CONFIRMATION_AGE_SHARE * revoke_within
         )
-        self._want_proof = want_proof
-        self._waiting: list[_Waiting] = []
-        self._limited: dict[str, float] = {}
-        #: Take requests on, or refuse them.
-        self.let_in: LetIn = _nobody_listens
-        self.refuse: Refuse = _nobody_listens
+        self._request_confirmation = request_confirmation
+        self._waiting: list[_WaitingRequest] = []
+        self._last_quota_refusal: dict[str, float] = {}
+        #: Called with each accepted and each refused request.
+        self.accept: AcceptCallback = _ignore
+        self.refuse: RefuseCallback = _ignore
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a newer proof."""
+        """Number of requests that wait for a newer confirmation."""
         return len(self._waiting)
 
     def admit(self, exchange: Exchange, route: Route, index: AccountIndex) -> None:
-        """Let a caller's request in, or refuse it; now or later, and once."""
+        """Accept or refuse a caller's request, once, now or after a wait."""
         keys = exchange.keys
         account = index.find(keys[0]) if len(keys) == 1 else None
-        if account is not None and self._is_proven():
-            self._ask_quota(exchange, route, account)
+        if account is not None and self._is_confirmed():
+            self._take_quota(exchange, route, account)
         elif route.anonymous:
-            self.let_in(exchange, route)
+            self.accept(exchange, route)
         elif account is not None:
             self.refuse(exchange, route, _UNCONFIRMED)
-        elif len(keys) != 1 or len(self._waiting) >= _MOST_WAITING:
-            self._refuse_unknown(exchange, route, proven=len(keys) != 1)
+        elif len(keys) != 1 or len(self._waiting) >= _MAX_WAITING_REQUESTS:
+            self._refuse_unknown(exchange, route, confirmed=len(keys) != 1)
         else:
-            self._waiting.append(_Waiting(exchange, route, self._lease.now()))
-            self._want_proof()
+            self._waiting.append(_WaitingRequest(exchange, route, self._lease.now()))
+            self._request_confirmation()
 
-    def release(self, exchange: Exchange) -> None:
-        """Take note that a request that was let in has not run and never will."""
+    def refund_quota(self, exchange: Exchange) -> None:
+        """Refund the quota of an accepted request that has not run and will not."""
         if exchange.granted_at is not None:
             self._quota.give_back(exchange.account, exchange.granted_at)
             exchange.granted_at = None
 
     def recheck_waiting(self) -> None:
-        """Look again at the requests that wait: there is news, or time has passed."""
+        """Decide on waiting requests, by the current configuration and time."""
         waiting, self._waiting = self._waiting, []
-        for each in waiting:
-            if not each.exchange.answered and not self._settle(each):
-                self._waiting.append(each)
+        for request in waiting:
+            if not request.exchange.answered and not self._try_resolve(request):
+                self._waiting.append(request)
         if self._waiting:
-            self._want_proof()
+            self._request_confirmation()
 
     def tick(self) -> None:
-        """Carry on; call ten times a second."""
+        """Handle timeouts; call ten times a second."""
         if self._waiting:
             self.recheck_waiting()
         now = self._clock.now()
-        for name, at in list(self._limited.items()):
-            if now - at > _WITHIN_AFTER:
-                del self._limited[name]
+        for name, at in list(self._last_quota_refusal.items()):
+            if now - at > _QUOTA_QUIET_S:
+                del self._last_quota_refusal[name]
                 log_change("account_within_quota", account=name)
 
-    def _is_proven(self) -> bool:
-        return self._oldest_proof is None or self._lease.age <= self._oldest_proof
+    def _is_confirmed(self) -> bool:
+        return (
+            self._max_confirmation_age is None
+            or self._lease.age <= self._max_confirmation_age
+        )
 
-    def _settle(self, waiting: _Waiting) -> bool:
-        """Decide on a request that has waited, if that can be done now."""
+    def _try_resolve(self, waiting: _WaitingRequest) -> bool:
+        """Accept or refuse a waiting request if possible; return whether it was."""
         exchange, route = waiting.exchange, waiting.route
         index = self._configuration.current.accounts
         account = None if index is None else index.find(exchange.keys[0])
@@ -190,57 +197,62 @@
         if account is not None or index is None:
             exchange.waited += waited
             if account is None:
-                self.let_in(exchange, route)
-            elif self._is_proven():
-                self._ask_quota(exchange, route, account)
+                self.accept(exchange, route)
+            elif self._is_confirmed():
+                self._take_quota(exchange, route, account)
             else:
                 self.refuse(exchange, route, _UNCONFIRMED)
         elif self._lease.age <= waited:
-            self._refuse_unknown(exchange, route, proven=True)
-        elif waited >= _KEY_PATIENCE:
-            self._refuse_unknown(exchange, route, proven=False)
+            self._refuse_unknown(exchange, route, confirmed=True)
+        elif waited >= _MAX_KEY_WAIT_S:
+            self._refuse_unknown(exchange, route, confirmed=False)
         else:
             return False
         return True
 
-    def _refuse_unknown(self, exchange: Exchange, route: Route, proven: bool) -> None:
-        if proven or self._lease.age <= _RECENT:
+    def _refuse_unknown(
+        self, exchange: Exchange, route: Route, confirmed: bool
+    ) -> None:
+        if confirmed or self._lease.age <= _RECENT_CONFIRMATION_S:
             self.refuse(exchange, route, _UNAUTHENTICATED)
         else:
             self.refuse(exchange, route, _UNCONFIRMED)
 
-    def _ask_quota(
+    def _take_quota(
         self, exchange: Exchange, route: Route, account: ClientAccount
     ) -> None:
         exchange.account = account
         asked_at = self._clock.now()
 
-        def decided(verdict: Verdict, retry_after: float) -> None:
+        def on_verdict(verdict: Verdict, retry_after: float) -> None:
             now = self._clock.now()
             exchange.waited += now - asked_at
             if verdict is Verdict.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
-                    self.release(exchange)
+                    self.refund_quota(exchange)
                 else:
-                    self.let_in(exchange, route)
+                    self.accept(exchange, route)
             elif verdict is Verdict.EXHAUSTED:
-                self._note_limited(account.name, now)
+                self._log_over_quota(account.name, now)
                 refusal = Refusal(_QUOTA_STATUS, Reason.QUOTA, retry_after)
                 self.refuse(exchange, route, refusal)
             else:
                 refusal = Refusal(_NOT_RUN_STATUS, Reason.QUOTA_UNKNOWN, retry_after)
                 self.refuse(exchange, route, refusal)
 
-        self._quota.take(account, decided)
+        self._quota.take(account, on_verdict)
 
-    def _note_limited(self, name: str, now: float) -> None:
-        if name not in self._limited and len(self._limited) < _MOST_LOGGED:
+    def _log_over_quota(self, name: str, now: float) -> None:
+        if (
+            name not in self._last_quota_refusal
+            and len(self._last_quota_refusal) < _MAX_LOGGED_ACCOUNTS
+        ):
             log_change("account_over_quota", account=name)
-            self._limited[name] = now
-        elif name in self._limited:
-            self._limited[name] = now
+            self._last_quota_refusal[name] = now
+        elif name in self._last_quota_refusal:
+            self._last_quota_refusal[name] = now
 
 
-def _nobody_listens(*request: object) -> None:
+def _ignore(*request: object) -> None:
     pass
--- a/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Detects that an upstream has crashed, and which requests may have caused it."""
+"""Detects crashes of the upstream and names the requests that may cause them."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -10,32 +10,33 @@
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Seconds before each look at the upstream, from a lost answer on: the resets of all
-#: its connections arrive together, and its address may take new ones a moment longer.
-_PAUSES = (0.005, 0.015, 0.06)
-#: Requests named on the line of a crash.
-_MOST_LOGGED = 32
+#: Delays before each probe of the upstream after a lost connection.  The resets of
+#: all connections of a crashed process arrive together, but its listening port may
+#: accept connections for a moment longer.
+_PROBE_DELAYS_S = (0.005, 0.015, 0.06)
+#: Bounds the fingerprints on the log line of a crash.
+_MAX_LOGGED_FINGERPRINTS = 32
 
 
 class CrashDetector:
-    """Distinguishes a crashed upstream from one that only dropped a connection.
+    """Distinguishes a crashed upstream from one that closed a connection.
 
     Explanation
     ===========
 
-    An upstream that drops a connection still has others, or takes new ones.  One that
-    has crashed has lost all at once and takes none.
+    An upstream that closes a single connection still has others open or accepts new
+    ones.  After a crash, all connections are gone and new ones are refused.
 
     Parameters
     ==========
 
     tracker : SuspectTracker
-        Names the suspects of a crash.
+        Knows the requests that were in flight shortly before a crash.
     counters : Counters
-        What happened.
+        Counts crashes.
     on_crash : callable
-        Gets the hash of the incarnation that has crashed, and the fingerprints of the
-        requests that may have crashed it.
+        Called with the hash of the crashed incarnation and the fingerprints of the
+        requests that may have caused the crash.
     """
 
     def __init__(
@@ -53,38 +54,38 @@
         self._crashed = False
 
     def watch(self, pool: UpstreamPool, upstream: Upstream) -> None:
-        """Begin anew, with the connections to another incarnation."""
+        """Start watching an incarnation and the connections to it."""
         self.close()
         self._pool = pool
         self._upstream = upstream
         self._crashed = False
 
     def on_lost(self, fingerprint: int) -> None:
-        """Take note that the connection of a run ended without an answer."""
+        """Record that the connection of a run closed without a response."""
         self._tracker.on_lost(fingerprint)
-        looking = self._task is not None and not self._task.done()
-        if self._pool is not None and not looking and not self._crashed:
-            self._task = asyncio.ensure_future(self._look(self._pool))
+        probing = self._task is not None and not self._task.done()
+        if self._pool is not None and not probing and not self._crashed:
+            self._task = asyncio.ensure_future(self._probe(self._pool))
 
     def on_replaced(self, in_flight: Iterable[int]) -> None:
-        """Take note that another incarnation answers in the place of this one."""
+        """Record that another incarnation has replaced the watched one."""
         if not self._crashed:
-            self._conclude(in_flight)
+            self._report_crash(in_flight)
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop probing."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
-    async def _look(self, pool: UpstreamPool) -> None:
-        for pause in _PAUSES:
-            await asyncio.sleep(pause)
+    async def _probe(self, pool: UpstreamPool) -> None:
+        for delay in _PROBE_DELAYS_S:
+            await asyncio.sleep(delay)
             if not pool.open and not await pool.accepts():
-                self._conclude(())
+                self._report_crash(())
                 return
 
-    def _conclude(self, in_flight: Iterable[int]) -> None:
+    def _report_crash(self, in_flight: Iterable[int]) -> None:
         self._crashed = True
         suspects = self._tracker.on_crash(in_flight)
         upstream = self._upstream
@@ -93,7 +94,9 @@
             "upstream_crashed",
             upstream=upstream.name,
             suspects=len(suspects),
-            fingerprints=[fingerprint_text(f) for f in sorted(suspects)[:_MOST_LOGGED]],
+            fingerprints=[
+                fingerprint_text(f) for f in sorted(suspects)[:_MAX_LOGGED_FINGERPRINTS]
+            ],
         )
         if suspects:
             self.on_crash(incarnation_hash(upstream.name, upstream.born), suspects)
--- a/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
@@ -1,4 +1,4 @@
-"""Tells what was decided on requests: one line each, and durations."""
+"""Request log, durations and losses of the decisions on requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rattanfork_core.trace import loss_cause
 
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.relay.admitted_request import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import AdmittedRequest, AttemptRecord
 from rattanfork_node.telemetry import Counters, RequestLog
 
 if TYPE_CHECKING:
@@ -22,15 +22,15 @@
 
 
 class DecisionLog:
-    """Writes the lines of this node's decisions on requests.
+    """Logs this node's decisions on requests and records their durations.
 
     Explanation
     ===========
 
-    Each request has one line at the node of its caller, with the attempts made
-    for it, and one at the guard of each attempt.  A line holds the inputs of
-    the decision and their age or version, so that it can be understood when
-    the state it was made in is long gone.
+    A request has one line at the node where it enters, with its attempts, and one
+    line at the gate of each attempt.  A line holds the inputs of the decision with
+    their age or version, so that the decision can be explained after the state it
+    was based on has changed.
 
     Parameters
     ==========
@@ -38,15 +38,15 @@
     clock : Clock
         Source of the current time.
     log : RequestLog
-        Where lines go.
+        Destination of the lines.
     counters : Counters
-        Where durations go.
+        Destination of durations and losses.
     configuration : ConfigurationHolder
-        Its version stands on each line.
+        Its version is part of each request line.
     rules : RevisionState
-        Its revision stands on each line.
+        Their revision is part of each request line.
     objectives : RouteObjectives or None
-        Where callers' requests are counted against their routes' objectives.
+        Counts callers' requests against the objectives of their routes.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         is_call: bool = False,
         **inputs: object,
     ) -> None:
-        """Take note of a request that was refused here before any attempt."""
+        """Record a request that was refused here before any attempt."""
         route = inputs.get("route")
         if route is not None and not is_call:
             self._objectives.add(route, good=False)
@@ -100,12 +100,12 @@
     def on_finished(
         self,
         exchange: Exchange,
-        admitted: Admitted,
-        attempts: list[Attempted],
+        admitted: AdmittedRequest,
+        attempts: list[AttemptRecord],
         result: CallResult,
         status: int,
     ) -> None:
-        """Take note of a request that has its final answer, with a status."""
+        """Record a request with its final response status and its attempts."""
         seconds = self._clock.now() - admitted.began
         route = admitted.route
         outcome = result.outcome.label
@@ -151,7 +151,7 @@
         admission: AdmissionController,
         upstream: str,
     ) -> None:
-        """Take note of what became of a request at this node's gate."""
+        """Record the result of a request at this node's gate."""
         now = self._clock.now()
         waiter = job.waiter
         outcome = result.outcome.label
--- a/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -1,28 +1,30 @@
-"""What a node still takes once it was told to stop."""
+"""Admission of callers' requests at a node that is draining."""
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.routes import Route
 from rattanfork_core.routing import InstancePicker
 
-#: Times the usual latency of the slowest instance within which a request ends
-#: but for some in a thousand, of what runs for about as long as others do.
-_USUAL_TIMES = 4.0
+#: Multiple of the slowest instance's usual latency within which all but a few in a
+#: thousand requests end, if their durations are similar.
+_LATENCY_FACTOR = 4.0
 
 
 class DrainPolicy:
-    """Decides which requests a node takes that was told to stop.
+    """Decides which callers' requests a draining node still accepts.
 
     Explanation
     ===========
 
-    Cut off when the node ends, a request may have run, and a posting can't be
-    tried again; so what could last longer than the node is refused.  But
-    callers go on sending until they notice that the node leaves, and what is
-    refused comes back to the same node.  A route whose timeout is as long as
-    the grace was shut to them for all that time, although its requests take a
-    fraction of a second: 157 of 32,700 requests of a day on which three
-    instances were taken away, and none since.  For as long as callers are
-    served at any rate, what usually ends long before the node does is taken.
+    A request that is cut off when the node exits may have run, and one that is
+    not idempotent can't be retried then.  So a request is refused if its timeout
+    is longer than the time that is left.
+
+    Callers keep sending until they notice that the node is draining, and retry a
+    refused request at the same node.  If the timeout alone decided, a route with
+    a timeout as long as the grace period would be refused throughout, although
+    its requests take a fraction of a second: with three instances removed, that
+    failed 157 of 32,700 requests.  Until ``serves_until``, a request is therefore
+    also accepted if a multiple of the usual latency fits into the time left.
 
     Parameters
     ==========
@@ -30,9 +32,9 @@
     clock : Clock
         Source of the current time.
     ends_at : float
-        When the node ends, in seconds of the clock.
+        Time at which the node exits, in seconds of the clock.
     serves_until : float
-        Until when callers are served at least.
+        Time until which callers may still send, in seconds of the clock.
     """
 
     def __init__(self, clock: Clock, ends_at: float, serves_until: float) -> None:
@@ -41,10 +43,10 @@
         self._serves_until = serves_until
 
     def accepts(self, route: Route, picker: InstancePicker) -> bool:
-        """Return whether a caller's request of a route is still taken."""
+        """Return whether a caller's request for a route is accepted."""
         now = self._clock.now()
         left = self._ends_at - now
         if route.timeout <= left:
             return True
         usual = picker.usual_latency
-        return now <= self._serves_until and 0.0 < _USUAL_TIMES * usual <= left
+        return now <= self._serves_until and 0.0 < _LATENCY_FACTOR * usual <= left
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -1,4 +1,4 @@
-"""One request on its way from this node."""
+"""Forwarding of one request: its attempts, retries, fences and deadline."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from rattanfork_core.request.commands import Command
 
 from rattanfork_node.peer import Cancel, LinkLostError, PeerLink, Run, RunReply
-from rattanfork_node.relay.admitted_request import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import AdmittedRequest, AttemptRecord
 from rattanfork_node.relay.job import Job
 
 if TYPE_CHECKING:
@@ -29,24 +29,25 @@
     from rattanfork_node.http1 import Exchange
     from rattanfork_node.relay.relay import Relay
 
-#: Seconds that a guard may take to judge an attempt whose link was lost.
-_FENCE_TIMEOUT = 0.5
-#: Times the usual latency of an instance without an answer, from which a
-#: deadline that passes counts against it: beyond what waiting in a queue that
-#: refuses late requests can add.
-_SILENT = 4.0
-#: Refusals after which a request is sent again within its budget.  The budget
-#: decides who is; of runs with four calls one in nine that it carried failed for
-#: want of a sixth repeat, at upstreams that refused 55 of 100 requests.
-_FREE_REFUSALS = 15
-#: Gates that may deny one request a repeat before it is given up: their parts of
-#: the bound fill alike, and each that is asked costs a message.
-_MOST_DENIED = 2
-#: Runs of one request that may end with the connection to their upstream.
-_MOST_LOST_RUNS = 2
-#: Results that say that the request was at an upstream: another attempt is a
-#: repeated arrival there.
-_ARRIVED = frozenset(
+#: Time within which a gate must answer a fence for an attempt whose link was lost.
+_FENCE_TIMEOUT_S = 0.5
+#: Multiple of an instance's usual latency after which a passed deadline counts as its
+#: failure: more than a queue that refuses late requests can add.
+_SILENT_LATENCY_FACTOR = 4.0
+#: Refused attempts ("not run") that don't count against the attempts of a route.  The
+#: retry budget is the effective limit: of the runs with four calls that it allowed,
+#: one in nine failed for lack of a sixth retry, at upstreams that refused 55 of 100
+#: requests.
+_MAX_REFUSED_ATTEMPTS = 15
+#: Gates that may deny a retry of one request before it is given up.  The retry
+#: budgets of a service's gates are used up at similar rates, and each attempt costs
+#: a message.
+_MAX_RETRY_DENIALS = 2
+#: Runs of one request that may end in a lost upstream connection.
+_MAX_LOST_RUNS = 2
+#: Reasons that show that the request reached an upstream, so that another attempt is
+#: charged to the retry budget.
+_REACHED_UPSTREAM_REASONS = frozenset(
     (
         Reason.UPSTREAM_SHED,
         Reason.UPSTREAM_FAILED,
@@ -54,7 +55,8 @@
         Reason.STALE_INSTANCE,
     )
 )
-_FAILED = frozenset(
+#: Reasons that count as a failure of the instance in load balancing.
+_INSTANCE_FAILURE_REASONS = frozenset(
     (
         Reason.UPSTREAM_DOWN,
         Reason.UPSTREAM_SHED,
@@ -67,26 +69,26 @@
 
 
 class Forwarding:
-    """Drives the request machine of one request by callbacks.
+    """Executes the commands of one request's state machine by callbacks.
 
     Parameters
     ==========
 
     relay : Relay
-        What all requests share.
+        Components that all requests share.
     exchange : Exchange
-        The request, and the place for its answer.
-    admitted : Admitted
-        What was decided for it.
+        The request, which also receives the response.
+    admitted : AdmittedRequest
+        Routing and admission decisions on it.
     """
 
     __slots__ = (
         "_admitted",
         "_arrived",
         "_attempt",
-        "_attempted",
+        "_attempt_records",
         "_blocked",
-        "_denied",
+        "_retry_denials",
         "_exchange",
         "_job",
         "_last_reason",
@@ -99,11 +101,13 @@
         "_repeated",
         "_sent_at",
         "_sent_to",
-        "_state",
+        "_instance_state",
         "_timer",
     )
 
-    def __init__(self, relay: Relay, exchange: Exchange, admitted: Admitted) -> None:
+    def __init__(
+        self, relay: Relay, exchange: Exchange, admitted: AdmittedRequest
+    ) -> None:
         self._relay = relay
         self._exchange = exchange
         self._admitted = admitted
@@ -111,15 +115,15 @@
         self._blocked = admitted.blocked | admitted.ruled_out
         self._repeated = admitted.parent is not None and admitted.parent.is_repeat
         self._arrived = False
-        self._denied = 0
+        self._retry_denials = 0
         self._lost_runs = 0
         self._attempt = 0
-        self._attempted: list[Attempted] = []
+        self._attempt_records: list[AttemptRecord] = []
         self._last_reason = Reason.NONE
         self._link: PeerLink | None = None
         self._job: Job | None = None
         self._number = 0
-        self._state = None
+        self._instance_state = None
         self._sent_at = 0.0
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
@@ -127,103 +131,105 @@
         self._machine = RequestMachine(
             account,
             route.idempotent,
-            self._pick,
+            self._pick_instance,
             may_retry=self._may_retry,
-            free_refusals=_FREE_REFUSALS,
+            free_refusals=_MAX_REFUSED_ATTEMPTS,
         )
         wait = max(0.0, deadline - relay.clock.now())
         self._timer = relay.loop.call_later(wait, self._on_deadline)
 
     def start(self) -> None:
         """Send the first attempt."""
-        self._exchange.on_gone = self.on_caller_left
-        self._carry_out(self._machine.start())
+        self._exchange.on_gone = self.on_caller_disconnected
+        self._execute(self._machine.start())
 
-    def on_caller_left(self) -> None:
-        """Stop all work: nobody waits for the answer."""
-        self._carry_out(self._machine.on_caller_left())
+    def on_caller_disconnected(self) -> None:
+        """Cancel all work, as the caller no longer waits for the response."""
+        self._execute(self._machine.on_caller_left())
 
-    def _pick(self, avoid: frozenset[str]) -> str | None:
+    def _pick_instance(self, avoid: frozenset[str]) -> str | None:
         admitted = self._admitted
         picker, operation = admitted.picker, admitted.operation
-        # What is given up deeper down is tried again, or its run is; a caller's
-        # own posting can't be.
-        patience = inf
+        # Only for a caller's own request must the instance be fast enough for the
+        # time left: a call that times out is retried, or its run is.
+        time_left = inf
         if admitted.parent is None:
-            patience = admitted.deadline - self._relay.clock.now()
-        # Where all would shed the request, any may still judge for itself; what
-        # a rule has ruled out stays ruled out.
-        return picker.pick(avoid | self._blocked, operation, patience) or (
-            None if avoid else picker.pick(admitted.ruled_out, operation, patience)
+            time_left = admitted.deadline - self._relay.clock.now()
+        # If all instances are expected to shed the request, any may be asked, as
+        # its gate decides; instances that a rule excludes stay excluded.
+        return picker.pick(avoid | self._blocked, operation, time_left) or (
+            None if avoid else picker.pick(admitted.ruled_out, operation, time_left)
         )
 
     def _may_retry(self) -> bool:
         admitted = self._admitted
-        if self._last_reason is Reason.CONNECTION and not self._may_retry_lost():
+        if self._last_reason is Reason.CONNECTION and not self._may_retry_lost_run():
             return False
         if self._last_reason is Reason.TOO_LATE:
-            # Cut off by the timeout, the next attempt would have to be called
-            # one that may have run; now it is known that nothing has.
+            # An attempt that is cut off by the timeout may have run, while now the
+            # request is known not to have run.
             left = admitted.deadline - self._relay.clock.now()
             return left > admitted.picker.best_latency
-        # The gate that is asked next decides on a repeated arrival.
-        return self._denied < _MOST_DENIED
+        # The gate that receives the retry checks its retry budget.
+        return self._retry_denials < _MAX_RETRY_DENIALS
 
-    def _may_retry_lost(self) -> bool:
-        """Return whether another upstream may get what one was lost under."""
-        if self._lost_runs >= _MOST_LOST_RUNS:
+    def _may_retry_lost_run(self) -> bool:
+        """Return whether to retry a run whose upstream connection was lost."""
+        if self._lost_runs >= _MAX_LOST_RUNS:
             return False
         quarantine = self._relay.quarantine
         return not len(quarantine) or quarantine.may_retry(self._exchange.fingerprint)
 
     def _on_deadline(self) -> None:
-        state = self._state
+        state = self._instance_state
         if state is not None and state.latency:
-            # An upstream that has gone silent answers nothing, so no result
-            # ever speaks against it, and it would go on looking idle and fast.
+            # An unresponsive upstream produces no results, so without this no
+            # failure would be counted and it would keep looking idle and fast.
             waited = self._relay.clock.now() - self._sent_at
-            self._settle(failed=True, counted=waited > _SILENT * state.latency)
-        self._carry_out(self._machine.on_deadline())
+            self._update_instance_state(
+                failed=True, counted=waited > _SILENT_LATENCY_FACTOR * state.latency
+            )
+        self._execute(self._machine.on_deadline())
 
-    def _carry_out(self, commands: list[Command]) -> None:
+    def _execute(self, commands: list[Command]) -> None:
         for command in commands:
             if isinstance(command, SendCall):
                 self._send(command)
             elif isinstance(command, Finish):
                 self._finish(command.result)
             elif isinstance(command, SendCancel):
-                self._cancel()
+                self._send_cancel()
             else:
-                self._fence(command.attempt, command.instance)
+                self._send_fence(command.attempt, command.instance)
 
     def _send(self, command: SendCall) -> None:
         self._attempt = command.attempt
         relay = self._relay
         member = relay.directory.member(command.instance)
-        self._state = self._admitted.picker.states.get(command.instance)
+        self._instance_state = self._admitted.picker.states.get(command.instance)
         self._sent_at = relay.clock.now()
-        if self._state is not None:
-            self._state.on_sent(self._sent_at)
+        if self._instance_state is not None:
+            self._instance_state.on_sent(self._sent_at)
         self._sent_to = command.instance
         if command.attempt > 1:
             relay.counters.events["relay.retry"] += 1
-        if member is not None and member.name == relay.my_name:
-            self._run_here(member)
+        if member is not None and member.name == relay.own_name:
+            self._submit_locally(member)
             return
         self._job = None
         link = relay.pool.ready(member) if member is not None else None
         if link is None:
-            self._open(member, command.attempt)
+            self._connect_and_send(member, command.attempt)
         else:
-            self._run_there(link, member)
+            self._send_run(link, member)
 
-    def _run_here(self, member: Member) -> None:
+    def _submit_locally(self, member: Member) -> None:
         exchange = self._exchange
         admitted = self._admitted
         attempt = self._attempt
         self._link = None
-        if self._state is not None:
-            self._state.busy = self._relay.gate.outstanding
+        if self._instance_state is not None:
+            self._instance_state.busy = self._relay.gate.outstanding
         self._job = Job(
             member.boot,
             admitted.operation,
@@ -243,7 +249,7 @@
         )
         self._relay.gate.submit(self._job)
 
-    def _run_there(self, link: PeerLink, member: Member) -> None:
+    def _send_run(self, link: PeerLink, member: Member) -> None:
         exchange = self._exchange
         admitted = self._admitted
         attempt = self._attempt
@@ -269,13 +275,13 @@
         )
         link.run(run, lambda reply: self._on_reply(attempt, member.name, reply))
 
-    def _open(self, member: Member | None, attempt: int) -> None:
-        """Make a connection first; the attempt may be over by then."""
+    def _connect_and_send(self, member: Member | None, attempt: int) -> None:
+        """Open a link and send the attempt, unless it has ended by then."""
 
         async def connect() -> None:
             try:
                 if member is None:
-                    raise LinkLostError("the instance is not known")
+                    raise LinkLostError("instance is not in the directory")
                 link = await self._relay.pool.open((member.host, member.peer_port))
             except LinkLostError:
                 self._on_unsent(attempt, member)
@@ -283,10 +289,10 @@
             if self._machine.finished or attempt != self._attempt:
                 return
             if link.peer != member.name:
-                self._relay.bury(member.name)
+                self._relay.mark_dead(member.name)
                 self._on_unsent(attempt, member)
                 return
-            self._run_there(link, member)
+            self._send_run(link, member)
 
         self._link = None
         self._number = 0
@@ -294,21 +300,21 @@
 
     def _on_unsent(self, attempt: int, member: Member | None) -> None:
         if member is not None:
-            self._relay.suspect(member.name)
+            self._relay.count_unreachable(member.name)
         result = CallResult(Outcome.NOT_RUN, Reason.NO_INSTANCE, retry_elsewhere=True)
         self._on_result(attempt, result)
 
     def _on_reply(self, attempt: int, name: str, reply: RunReply | None) -> None:
         if reply is None:
-            self._settle(failed=True)
-            self._note(Reason.CONNECTION)
+            self._update_instance_state(failed=True)
+            self._record_attempt(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
             self._arrived = True
-            self._carry_out(self._machine.on_link_lost(attempt))
+            self._execute(self._machine.on_link_lost(attempt))
             return
-        self._relay.early.hear(self._admitted.operation, name, reply.cut)
-        if self._state is not None:
-            self._state.busy = reply.busy
+        self._relay.early_refusal.hear(self._admitted.operation, name, reply.cut)
+        if self._instance_state is not None:
+            self._instance_state.busy = reply.busy
         result = CallResult(
             Outcome(reply.outcome),
             Reason(reply.reason),
@@ -322,32 +328,32 @@
 
     def _on_result(self, attempt: int, result: CallResult) -> None:
         if self._machine.finished:
-            self._settle(failed=False, counted=False)
+            self._update_instance_state(failed=False, counted=False)
             return
-        self._settle(failed=result.reason in _FAILED)
-        self._note(result.reason, result.status)
+        self._update_instance_state(failed=result.reason in _INSTANCE_FAILURE_REASONS)
+        self._record_attempt(result.reason, result.status)
         self._last_reason = result.reason
-        self._arrived |= result.reason in _ARRIVED
-        self._denied += result.reason is Reason.NO_REPEAT
+        self._arrived |= result.reason in _REACHED_UPSTREAM_REASONS
+        self._retry_denials += result.reason is Reason.NO_REPEAT
         self._lost_runs += result.reason is Reason.CONNECTION
         if 200 <= result.status < 300:
-            self._note_reach(result)
+            self._record_reach(result)
         if result.reason is Reason.UPSTREAM_FAILED and result.retry_elsewhere:
-            # A failure that another instance may do better; should none be
-            # asked, the upstream's own answer is what the caller gets.
+            # Another instance may succeed; without a retry the caller gets the
+            # upstream's own response.
             result.outcome = Outcome.UNKNOWN
-        self._carry_out(self._machine.on_result(attempt, result))
+        self._execute(self._machine.on_result(attempt, result))
 
-    def _note_reach(self, result: CallResult) -> None:
+    def _record_reach(self, result: CallResult) -> None:
         admitted = self._admitted
         if self._parent is None:
             self._relay.reach.on_run(admitted.operation, result.reach)
         else:
-            self._parent.reached.add(admitted.service)
-            self._parent.reached.update(result.reach)
+            self._parent.services_reached.add(admitted.service)
+            self._parent.services_reached.update(result.reach)
 
-    def _settle(self, failed: bool, counted: bool = True) -> None:
-        state, self._state = self._state, None
+    def _update_instance_state(self, failed: bool, counted: bool = True) -> None:
+        state, self._instance_state = self._instance_state, None
         if state is None:
             return
         if counted:
@@ -357,26 +363,28 @@
         else:
             state.on_withdrawn(self._sent_at)
 
-    def _note(self, reason: Reason, status: int = 0) -> None:
-        """Keep what an attempt came to, for the log; only its first end counts."""
+    def _record_attempt(self, reason: Reason, status: int = 0) -> None:
+        """Record how an attempt ended, for the request log; only once per attempt."""
         if not self._sent_to:
             return
         seconds = self._relay.clock.now() - self._sent_at
-        self._attempted.append(Attempted(self._sent_to, reason, status, seconds))
+        self._attempt_records.append(
+            AttemptRecord(self._sent_to, reason, status, seconds)
+        )
         self._sent_to = ""
 
-    def _cancel(self) -> None:
-        self._note(Reason.CANCELLED)
-        if self._state is not None:
-            self._state.on_withdrawn(self._sent_at)
-            self._state = None
+    def _send_cancel(self) -> None:
+        self._record_attempt(Reason.CANCELLED)
+        if self._instance_state is not None:
+            self._instance_state.on_withdrawn(self._sent_at)
+            self._instance_state = None
         if self._job is not None:
             self._relay.gate.cancel(self._job)
         elif self._link is not None:
             self._link.forget(self._number)
             self._link.send(Cancel(self._number))
 
-    def _fence(self, attempt: int, instance: str) -> None:
+    def _send_fence(self, attempt: int, instance: str) -> None:
         link, number = self._link, self._number
         member = self._relay.directory.member(instance)
 
@@ -384,18 +392,20 @@
             verdict = FenceVerdict.UNKNOWN
             try:
                 if member is not None and link is not None:
-                    async with asyncio.timeout(_FENCE_TIMEOUT):
+                    async with asyncio.timeout(_FENCE_TIMEOUT_S):
                         [verdict] = await self._relay.pool.fence_calls(
                             member, link.connection, [number]
                         )
             except (LinkLostError, TimeoutError, ValueError):
                 self._relay.counters.events["relay.fence-unanswered"] += 1
-            self._carry_out(self._machine.on_fence(attempt, verdict))
+            self._execute(self._machine.on_fence(attempt, verdict))
 
         self._relay.spawn(fence())
 
     def _finish(self, result: CallResult) -> None:
         self._timer.cancel()
-        # The job is bound to this object, and would keep it in a cycle.
+        # The job's callback refers to this object: breaks the reference cycle.
         self._job = None
-        self._relay.finish(self._exchange, self._admitted, self._attempted, result)
+        self._relay.finish(
+            self._exchange, self._admitted, self._attempt_records, result
+        )
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -1,4 +1,4 @@
-"""The gate in front of this node's upstream."""
+"""Admission and dispatch of requests to this node's upstream."""
 
 from collections.abc import Iterable
 
@@ -24,27 +24,32 @@
 )
 from rattanfork_node.relay.crash_detector import CrashDetector
 from rattanfork_node.relay.decision_log import DecisionLog
-from rattanfork_node.relay.gate_results import lost, not_run, result_of
+from rattanfork_node.relay.gate_results import (
+    connection_lost,
+    not_run,
+    result_from_answer,
+)
 from rattanfork_node.relay.job import Job
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters
 
-#: Part of an upstream's slots that is used.  Some upstreams slow down when they
-#: are nearly full: one that takes 1.3 times as long from 95% on does a fifth
-#: more work with one slot in twenty left free, and one that doesn't loses a
+#: Share of an upstream's announced slots that is used.  Some upstreams slow down when
+#: nearly full: one that takes 1.3 times as long from 95% on completes a fifth more
+#: work with one slot in twenty left free, and one that doesn't slow down loses a
 #: twentieth at most.
-_USED_SLOTS = 0.945
-#: Length of the queue, as a share of the slots used and as the seconds that it
-#: takes to serve it.  A call that waits longer takes the time that the run
-#: above it has for its other calls.
+_SLOT_UTILIZATION = 0.945
+#: Bounds of the queue length: as a share of the slots in use, and as the time in
+#: seconds that it takes to serve the queue.  A call that waits longer uses up the
+#: time that its parent run has for its other calls.
 _QUEUE_SHARE = 1.5
-_QUEUE_SECONDS = 0.2
-#: Seconds after which a waiter is shed, or the mean service time if that is more.
-_LONGEST_WAIT = 0.1
-#: Arrivals looked at for a surge: a tenth of a second at a full upstream.
-_SURGE_SAMPLE = 100
-#: Reasons for which an arrival at the upstream came to nothing.
-_LOST = frozenset(
+_QUEUE_S = 0.2
+#: Time in the queue, in seconds, after which a request is shed; the mean service time
+#: if that is longer.
+_MAX_WAIT_S = 0.1
+#: Arrivals over which a surge is detected: 0.1 s of arrivals at a full upstream.
+_SURGE_SAMPLE_ARRIVALS = 100
+#: Reasons that count as a failure of the upstream to run a request it was sent.
+_FAILED_ARRIVAL_REASONS = frozenset(
     (
         Reason.UPSTREAM_SHED,
         Reason.UPSTREAM_FAILED,
@@ -52,23 +57,26 @@
         Reason.STALE_INSTANCE,
     )
 )
-#: The only instance whose deeper services are kept here: the gate's own upstream.
-_HERE = ""
+#: Key of the gate's own upstream, the only instance in its table of downstream
+#: thresholds.
+_OWN_UPSTREAM = ""
 
 
 class Gate:
-    """Hands requests to this node's upstream, and says truly what did not run.
+    """Admits requests to this node's upstream and reports which did not run.
 
     Explanation
     ===========
 
-    Nothing else hands requests to the upstream.  The gate queues by rank in
-    front of it, so that what is urgent does not wait inside the upstream
-    behind what is not, and refuses at once what can't end in time.
+    All requests to the upstream pass its gate.  The gate keeps a queue ordered by
+    rank, so that an important request does not wait inside the upstream behind
+    less important ones, and refuses at once what can't end before its deadline.
+    "Not run" is reported only for requests that were not written to the upstream
+    or that the upstream itself refused.
 
-    Each request names the upstream's incarnation.  Addresses are used again:
-    a request that reaches another incarnation is refused by it instead of
-    being run by the wrong service.
+    Each request names the incarnation of the upstream that it is meant for.
+    Addresses are reused: another incarnation at the address refuses the request
+    instead of running it as the wrong service.
 
     Parameters
     ==========
@@ -76,17 +84,17 @@
     clock : Clock
         Source of the current time.
     boot : str
-        This incarnation of the gate.
+        ID of this incarnation of the gate.
     names : HeaderNames
-        Headers to set and read.
+        Names of request and response headers.
     counters : Counters
-        What happened.
-    journal : Journal
-        Told what became of each request.
+        Counts refusals by reason.
+    decision_log : Journal
+        Records the result of each request.
     grants : RepeatGrants
-        Decides which repeats may arrive.
+        Retry budget of this gate.
     quarantine : Quarantine
-        Knows the requests that no upstream may run.
+        Fingerprints of requests that no upstream may run.
     """
 
     def __init__(
@@ -95,14 +103,14 @@
         boot: str,
         names: HeaderNames,
         counters: Counters,
-        journal: DecisionLog,
+        decision_log: DecisionLog,
         grants: RepeatGrants,
         quarantine: Quarantine,
     ) -> None:
         self._clock = clock
         self.grants = grants
         self._quarantine = quarantine
-        self._journal = journal
+        self._decision_log = decision_log
         self._boot = boot
         self._names = names
         self._counters = counters
@@ -116,68 +124,68 @@
                 warmup=0.0,
                 adaptive=False,
                 queue_share=_QUEUE_SHARE,
-                queue_seconds=_QUEUE_SECONDS,
-                surge_sample=_SURGE_SAMPLE,
-                longest_wait=_LONGEST_WAIT,
+                queue_seconds=_QUEUE_S,
+                surge_sample=_SURGE_SAMPLE_ARRIVALS,
+                longest_wait=_MAX_WAIT_S,
             ),
         )
-        #: Thresholds that runs of the upstream have met at the services they call.
-        self._deeper = HintTable(clock)
-        #: Whether the upstream fails or has become slow.
+        #: Admission thresholds announced by the services that the upstream calls.
+        self._downstream_thresholds = HintTable(clock)
+        #: Detects an upstream that fails or has become slow.
         self.health = UpstreamHealth(clock)
-        #: Services that runs of the upstream reach, as their own calls show.
+        #: Services behind each operation, learned from the calls of its runs.
         self.reach = ChainReach()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
         self._next_key = 0
         self._accepting = False
         self._leaving = False
-        #: Set when the upstream turned out to be another incarnation.
+        #: Whether a response showed that another incarnation has the address.
         self.misdirected = False
         self._tracker = SuspectTracker(clock)
         self._crash_detector = CrashDetector(self._tracker, counters, quarantine.report)
 
     @property
     def crash_detector(self) -> CrashDetector:
-        """Detects crashes of the upstream."""
+        """The detector of crashes of the upstream."""
         return self._crash_detector
 
     def has_succeeded(self, fingerprint: int) -> bool:
-        """Return whether the upstream ran a request with success lately."""
+        """Return whether the upstream recently ran such a request successfully."""
         return self._tracker.has_succeeded(fingerprint)
 
     @property
     def upstream(self) -> Upstream | None:
-        """The upstream that requests are handed to."""
+        """The upstream that requests are sent to; None before it announced itself."""
         return self._upstream
 
     @property
     def accepting(self) -> bool:
-        """Whether new work is taken."""
+        """Whether new requests are admitted."""
         return self._accepting
 
     @property
     def own_threshold(self) -> float:
-        """Threshold of this gate alone."""
+        """Admission threshold of this gate, without those of downstream services."""
         return self._admission.cut
 
     @property
     def outstanding(self) -> int:
-        """Requests waiting or running."""
+        """Number of requests waiting or running."""
         return len(self._jobs)
 
     @property
     def slots(self) -> int:
-        """Requests that may run at once."""
+        """Number of requests that may run concurrently."""
         return self._admission.limit.current
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return self._admission.waiting
 
     def attach(self, upstream: Upstream, connections: int) -> None:
-        """Take new work for an upstream that announced itself."""
+        """Admit requests for an upstream that announced itself."""
         known = self._upstream
         if known is None or not upstream.is_same_incarnation(known):
             if known is not None and self._accepting:
@@ -185,36 +193,39 @@
                 self._crash_detector.on_replaced([j.fingerprint for j in in_flight])
             self._replace(upstream, connections)
             if known is not None and known.name == upstream.name:
-                self._end_runs_of_predecessor()
+                self._abort_predecessor_runs()
         elif not upstream.born:
             upstream = upstream._replace(born=known.born)
         self._upstream = upstream
-        self._admission.limit.announce(max(1, int(upstream.slots * _USED_SLOTS)))
+        self._admission.limit.announce(max(1, int(upstream.slots * _SLOT_UTILIZATION)))
         self._accepting = True
         self.misdirected = False
 
     def detach(self) -> None:
-        """Take no new work; what waits is refused and what runs goes on."""
+        """Admit no more requests; refuse waiting ones, let running ones finish."""
         self._accepting = False
         for job in [j for j in self._jobs.values() if not j.handed_over]:
             self._withdraw(job, Reason.LEAVING)
 
     def parent_of(self, request_id: bytes) -> Job | None:
-        """Return the run that made a call, by the call's ID.
+        """Return the run that made a call, by the call's request ID.
 
-        An upstream derives the IDs of its calls from that of the run.  The
-        prefix must equal the ID of a request at work here: the form of an ID
-        alone proves nothing, since a caller may choose any.
+        An upstream derives the IDs of its calls from that of the run, with a dot
+        and a suffix.  The prefix must be the ID of a request that is running here:
+        the form of an ID alone proves nothing, since callers may choose any.
         """
         prefix, dot, _ = request_id.rpartition(b".")
         return self._running.get(prefix) if dot else None
 
     def threshold(self, operation: str) -> float:
-        """Return the threshold to announce: the gate's or a deeper one."""
-        return min(self._admission.cut, self._deeper.cut(operation, _HERE))
+        """Return the lower of the gate's and the downstream admission threshold."""
+        return min(
+            self._admission.cut,
+            self._downstream_thresholds.cut(operation, _OWN_UPSTREAM),
+        )
 
     def submit(self, job: Job) -> None:
-        """Take a request; its ``done`` is called once."""
+        """Admit, queue or refuse a request; its ``done`` is called exactly once."""
         if job.boot != self._boot:
             self._refuse(job, Reason.STALE_INSTANCE)
             return
@@ -222,7 +233,7 @@
             known = self._upstream is not None
             self._refuse(job, Reason.LEAVING if known else Reason.NO_INSTANCE)
             return
-        if not self._count_arrival(job):
+        if not self._admit_arrival(job):
             self._refuse(job, Reason.NO_REPEAT)
             return
         self._next_key += 1
@@ -230,32 +241,32 @@
         waiter = Waiter(self._next_key, job.rank, job.operation, job.deadline, now)
         job.waiter = waiter
         self._jobs[waiter.key] = job
-        self._apply(self._admission.offer(waiter))
+        self._apply_decisions(self._admission.offer(waiter))
 
     def cancel(self, job: Job) -> None:
-        """Stop a request that nobody waits for."""
+        """Cancel a request whose sender no longer waits for it."""
         if job.ended:
             return
         if not job.handed_over:
             self._withdraw(job, Reason.CANCELLED)
         elif job.connection is None:
-            self._end(job, not_run(Reason.CANCELLED), False)
+            self._finish_run(job, not_run(Reason.CANCELLED), False)
         elif job.idempotent:
-            # Closing is what makes an upstream stop.  A run that must not be
-            # repeated goes on, and so do its calls: cut off half-way, nobody
-            # could tell its state.
+            # Closing the connection makes the upstream stop.  A run that is not
+            # idempotent continues, and so do its calls: if it were aborted, nobody
+            # could tell how much of it was done.
             job.connection.abort()
             self._tracker.on_lost(job.fingerprint)
-            self._stop_calls(job)
-            self._end(job, CallResult(Outcome.UNKNOWN, Reason.CANCELLED), False)
+            self._cancel_calls(job)
+            self._finish_run(job, CallResult(Outcome.UNKNOWN, Reason.CANCELLED), False)
 
     def leave(self) -> None:
-        """Take note that this node was told to stop."""
+        """Record that this node is draining."""
         self._leaving = True
 
     def tick(self) -> None:
-        """Carry admission on; call every ``AdmissionController.TICK``."""
-        self._apply(self._admission.tick())
+        """Update admission control; call every ``AdmissionController.TICK``."""
+        self._apply_decisions(self._admission.tick())
 
     def sweep(self) -> None:
         """Close idle connections; call about once a second."""
@@ -268,11 +279,11 @@
         if self._pool is not None:
             self._pool.close()
 
-    def _count_arrival(self, job: Job) -> bool:
-        """Count a request as new or as a repeat; return whether it may arrive.
+    def _admit_arrival(self, job: Job) -> bool:
+        """Charge the retry budget for a request; return whether it is admitted.
 
-        A call that a repeated run makes again can't be denied: without it all that
-        the run has done so far would be lost.
+        A call of a run that is itself a retry is charged but never denied: without
+        the call, all work of the run so far would be lost.
         """
         if job.arrived:
             job.granted = self.grants.grant(job.rank)
@@ -280,19 +291,19 @@
         if job.repeated:
             self.grants.count_repeat()
         elif job.attempt == 1:
-            # What other gates have shed was counted there.
+            # Later attempts were counted as new by the gate that shed the first.
             self.grants.count_request()
         return True
 
-    def _stop_calls(self, job: Job) -> None:
-        """Stop the calls of a run, for upstreams that take no note of a close.
+    def _cancel_calls(self, job: Job) -> None:
+        """Cancel the calls of a run, as some upstreams ignore a closed connection.
 
-        Not on a node that leaves: one whose upstream still waits for the answer
-        would see it replaced by a failure that only the restart has caused.
+        A draining node does not: if its upstream still waits for a response, it
+        would get a failure instead that only the restart has caused.
         """
         if not self._leaving:
-            for stop in list(job.cancels.values()):
-                stop()
+            for cancel in list(job.call_cancels.values()):
+                cancel()
 
     def _replace(self, upstream: Upstream, connections: int) -> None:
         if self._pool is not None:
@@ -312,17 +323,17 @@
             frozenset((self._not_run_name,)),
         )
 
-    def _end_runs_of_predecessor(self) -> None:
-        """End what was handed to an incarnation that has started again since.
+    def _abort_predecessor_runs(self) -> None:
+        """End the runs at a previous incarnation of a restarted upstream.
 
-        One that lost its power resets no connection, so callers would wait for
-        its answers until their deadlines.  What was written may have run.
+        After a power loss no connection is reset, so callers would wait for
+        responses until their deadlines.  What was written may have run.
         """
         for job in [j for j in self._jobs.values() if j.connection is not None]:
             job.connection.abort()
-            self._end(job, lost(), False)
+            self._finish_run(job, connection_lost(), False)
 
-    def _apply(self, decisions: Iterable[Decision]) -> None:
+    def _apply_decisions(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
             job = self._jobs[decision.waiter.key]
             if isinstance(decision, Start):
@@ -340,48 +351,48 @@
 
     def _send(self, job: Job, connection: UpstreamConnection | None) -> None:
         if connection is None:
-            self._end(job, not_run(Reason.UPSTREAM_DOWN), False)
+            self._finish_run(job, not_run(Reason.UPSTREAM_DOWN), False)
             return
-        reason = self._hand_over(job)
+        reason = self._reason_not_to_hand_over(job)
         if reason is not Reason.NONE:
             self._pool.give_back(connection)
-            self._end(job, not_run(reason), False)
+            self._finish_run(job, not_run(reason), False)
             return
         job.connection = connection
         self.health.on_started(job.waiter.key, job.operation)
         connection.send(
-            self._head(job) + job.body,
+            self._render_request_head(job) + job.body,
             job.request_id,
             lambda answer: self._on_answer(job, answer),
             job.method == b"HEAD",
         )
 
-    def _hand_over(self, job: Job) -> Reason:
-        """Mark a request as handed over, or return why it is not."""
+    def _reason_not_to_hand_over(self, job: Job) -> Reason:
+        """Return why a request may not be sent; NONE marks it as handed over."""
         if job.ended or job.deadline <= self._clock.now():
             return Reason.TOO_LATE
         if self._quarantine.active and self._quarantine.contains(job.fingerprint):
             return Reason.QUARANTINED
         return Reason.NONE if job.may_hand_over() else Reason.TOO_LATE
 
-    def _head(self, job: Job) -> bytes:
+    def _render_request_head(self, job: Job) -> bytes:
         names = self._names
-        extra = b"%b: %d\r\n%b: %b\r\n" % (
+        headers = b"%b: %d\r\n%b: %b\r\n" % (
             names.deadline,
             int((job.deadline - self._clock.now()) * 1000),
             names.expected_upstream,
             self._upstream.name.encode(),
         )
         if job.account:
-            extra += b"%b: %b\r\n" % (names.account, job.account.encode())
-        return render_head(job.method, job.target, job.block, len(job.body), extra)
+            headers += b"%b: %b\r\n" % (names.account, job.account.encode())
+        return render_head(job.method, job.target, job.block, len(job.body), headers)
 
     def _on_answer(self, job: Job, answer: UpstreamAnswer | None) -> None:
         if job.ended:
             return
-        result = result_of(job, answer, self._not_run_name)
+        result = result_from_answer(job, answer, self._not_run_name)
         self.misdirected |= result.reason is Reason.STALE_INSTANCE
-        self._end(job, result, result.outcome is Outcome.ANSWERED)
+        self._finish_run(job, result, result.outcome is Outcome.ANSWERED)
         if answer is None and self._accepting:
             self._crash_detector.on_lost(job.fingerprint)
 
@@ -390,30 +401,32 @@
         self._jobs.pop(job.waiter.key, None)
         self._refuse(job, reason)
 
-    def _end(self, job: Job, result: CallResult, succeeded: bool) -> None:
+    def _finish_run(self, job: Job, result: CallResult, succeeded: bool) -> None:
         if job.ended:
             return
         self._jobs.pop(job.waiter.key, None)
         self._running.pop(job.request_id, None)
         if job.connection is not None:
-            lost = result.reason in _LOST
-            self.grants.on_attempt(lost)
+            failed = result.reason in _FAILED_ARRIVAL_REASONS
+            self.grants.on_attempt(failed)
             self.health.on_ended(
-                job.waiter.key, lost, counts=result.reason is not Reason.CANCELLED
+                job.waiter.key, failed, counts=result.reason is not Reason.CANCELLED
             )
         if succeeded:
-            self._note_reach(job, result)
-        if job.heard_cut != float("inf"):
-            self._deeper.hear(job.operation, _HERE, job.heard_cut)
+            self._record_reach(job, result)
+        if job.lowest_called_threshold != float("inf"):
+            self._downstream_thresholds.hear(
+                job.operation, _OWN_UPSTREAM, job.lowest_called_threshold
+            )
         self._finish(job, result)
-        self._apply(self._admission.finish(job.waiter.key, succeeded))
+        self._apply_decisions(self._admission.finish(job.waiter.key, succeeded))
 
-    def _note_reach(self, job: Job, result: CallResult) -> None:
+    def _record_reach(self, job: Job, result: CallResult) -> None:
         if result.status < 300:
             fingerprint = job.fingerprint
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
-            self.reach.on_run(job.operation, job.reached)
+            self.reach.on_run(job.operation, job.services_reached)
         result.reach = self.reach.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
@@ -425,5 +438,5 @@
     def _finish(self, job: Job, result: CallResult) -> None:
         job.ended = True
         upstream = self._upstream.name if self._upstream is not None else ""
-        self._journal.on_run(job, result, self._admission, upstream)
+        self._decision_log.on_run(job, result, self._admission, upstream)
         job.done(result)
--- a/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
@@ -1,12 +1,12 @@
-"""What a gate tells of a request that it lets go of."""
+"""Results that a gate reports for requests that have ended."""
 
 from rattanfork_core.request import CallResult, Outcome, Reason
 
 from rattanfork_node.http1 import UpstreamAnswer
 from rattanfork_node.relay.job import Job
 
-#: Reasons for which another instance may do better.
-_ELSEWHERE = frozenset(
+#: Reasons for which another instance may succeed.
+_RETRY_ELSEWHERE_REASONS = frozenset(
     (
         Reason.LEAVING,
         Reason.STALE_INSTANCE,
@@ -19,15 +19,14 @@
     )
 )
 
-
-#: Misdirected Request: another incarnation listens at the address.
+#: 421 Misdirected Request: another incarnation listens at the address.
 _MISDIRECTED = 421
 
 
-def result_of(
+def result_from_answer(
     job: Job, answer: UpstreamAnswer | None, not_run_name: bytes
 ) -> CallResult:
-    """Return the result of a request that the upstream got.
+    """Return the result of a request that was written to the upstream.
 
     Parameters
     ==========
@@ -35,13 +34,13 @@
     job : Job
         The request.
     answer : UpstreamAnswer or None
-        Its answer; None if the connection ended first.
+        Its response; None if the connection closed before one arrived.
     not_run_name : bytes
-        Lower-case name of the header by which an upstream says that it did not run
-        a request.
+        Lower-case name of the response header by which an upstream states that it
+        did not run the request.
     """
     if answer is None:
-        return lost()
+        return connection_lost()
     if answer.status == _MISDIRECTED:
         return not_run(Reason.STALE_INSTANCE)
     if not_run_name in answer.headers:
@@ -49,27 +48,28 @@
     return answered(job, answer)
 
 
-def lost() -> CallResult:
-    """Return the result of a request whose connection to the upstream is gone."""
+def connection_lost() -> CallResult:
+    """Return the result of a request whose upstream connection was lost."""
     return CallResult(Outcome.UNKNOWN, Reason.CONNECTION, retry_elsewhere=True)
 
 
 def not_run(reason: Reason) -> CallResult:
     """Return the result of a request that the upstream did not run."""
-    elsewhere = reason in _ELSEWHERE
-    return CallResult(Outcome.NOT_RUN, reason, retry_elsewhere=elsewhere)
+    retry_elsewhere = reason in _RETRY_ELSEWHERE_REASONS
+    return CallResult(Outcome.NOT_RUN, reason, retry_elsewhere=retry_elsewhere)
 
 
 def answered(job: Job, answer: UpstreamAnswer) -> CallResult:
-    """Return the result of a request that the upstream answered."""
+    """Return the result of a request that the upstream ran and answered."""
     result = CallResult(
         Outcome.ANSWERED, status=answer.status, block=answer.block, body=answer.body
     )
     if answer.status >= 500 and not job.failed_calls:
-        # The upstream failed by itself, which speaks against it: one that has
-        # turned slow fails posting after posting at its deadline, and was sent
-        # its full share as long as only reads counted.  Where a deeper call
-        # failed, another instance would make the same call and fail as well.
+        # No downstream call failed, so the failure is the upstream's own and
+        # counts against it in load balancing, also if the request is not
+        # idempotent: a slow instance that times out every POST would otherwise
+        # keep its full share.  After a failed downstream call, another instance
+        # would make the same call and fail as well.
         result.reason = Reason.UPSTREAM_FAILED
         result.retry_elsewhere = job.idempotent
     return result
--- a/packages/rattanfork-node/rattanfork_node/relay/job.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/job.py
@@ -1,4 +1,4 @@
-"""One request at the gate."""
+"""A request that was submitted to a gate."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,41 +9,42 @@
 from rattanfork_node.http1 import UpstreamConnection, fingerprint_of
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request at the gate of an upstream.
+    """A request that was submitted to the gate of an upstream.
 
     Parameters
     ==========
 
     boot : str
-        Incarnation of the gate that the sender means.
+        Incarnation of the gate that the request was sent to.
     operation : str
-        Route and service, the unit in which thresholds are learned.
+        Route and service, the key under which admission thresholds are kept.
     method, target, block, body : bytes
-        The request; ``block`` holds its header lines.
+        The HTTP request; ``block`` holds its header lines.
     request_id : bytes
-        Identifies the attempt of the caller.
+        ID of the caller's attempt.
     rank : float
-        Place in the order of shedding.
+        Shedding order: higher ranks are shed first.
     deadline : float
-        Time by which the answer must be out, in seconds of the clock.
+        Time by which the response must be sent, in seconds of the clock.
     idempotent : bool
-        Whether running it twice does no harm.
+        Whether it may be run more than once.
     repeated : bool
-        Whether the run that made it was itself a repeat.
+        Whether the run that made this call was itself a retry.
     arrived : bool
         Whether an earlier attempt may have reached an upstream.
     attempt : int
-        Counts what was sent for it, from 1 on.
+        Number of this attempt at the request, starting at 1.
     done : callable
-        Gets the result, once.
+        Called once with the result.
     may_hand_over : callable
-        Asked last before the upstream gets the request.
+        Called last before the request is written to the upstream; False keeps it
+        from being sent.
     """
 
     boot: str
@@ -60,8 +61,8 @@
     arrived: bool
     attempt: int
     done: Callable[[CallResult], None]
-    may_hand_over: Callable[[], bool] = _always
-    #: Name of the node that sent it; "" for this one.
+    may_hand_over: Callable[[], bool] = _always_allowed
+    #: Name of the node that sent it; "" for this node.
     origin: str = ""
     #: Name of the client account that sent it; "" without one.
     account: str = ""
@@ -69,26 +70,26 @@
     connection: UpstreamConnection | None = None
     handed_over: bool = False
     ended: bool = False
-    #: Whether a repeat was granted to it.
+    #: Whether the retry budget was charged for it.
     granted: bool = False
-    #: Lowest threshold heard from the services that the run has called.
-    heard_cut: float = float("inf")
-    #: Services that the run has called with success, and those behind them.
-    reached: set[str] = field(default_factory=set)
-    #: Calls of the run that did not get a success, and those that did.
+    #: Lowest admission threshold announced by the services that the run has called.
+    lowest_called_threshold: float = float("inf")
+    #: Services that the run called successfully, and the services behind those.
+    services_reached: set[str] = field(default_factory=set)
+    #: Calls of the run that ended without and with a 2xx response.
     failed_calls: int = 0
     succeeded_calls: int = 0
-    #: Stops the calls that the run has made.
-    cancels: dict[int, Callable[[], None]] = field(default_factory=dict)
+    #: Cancel the calls that the run has in progress, by the id of their exchange.
+    call_cancels: dict[int, Callable[[], None]] = field(default_factory=dict)
 
     @property
     def fingerprint(self) -> int:
-        """What the request asks for, the same for all attempts at it."""
+        """Hash of the request's content, equal for all attempts at it."""
         return fingerprint_of(
             self.method, self.target, self.block, self.body, self.account
         )
 
     @property
     def is_repeat(self) -> bool:
-        """Whether it, or the run that made it, has arrived before."""
+        """Whether an upstream may have received it, or its parent run, before."""
         return self.repeated or self.arrived
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -1,4 +1,4 @@
-"""What a node that relays by routes does with what other nodes ask."""
+"""Handles messages from peer nodes at a routing node."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
 
 
 class RelayPeerHandler(LedgeredPeerHandler):
-    """Takes runs, fences, and questions about members and configuration.
+    """Handles runs, cancels, fences and configuration requests from peer nodes.
 
     Parameters
     ==========
@@ -43,7 +43,7 @@
     rules : RevisionState
         The ordered rules in force.
     counters : Counters
-        What happened.
+        Counts fences.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
         self._configuration = configuration
 
     def on_run(self, link: PeerLink, run: Run) -> None:
-        """Give a run to the gate."""
+        """Submit a run to the gate."""
         ledger = self.ledger_for(link, run.number)
         if not 0 <= run.rank < RANKS:
-            raise FrameError("rank out of range")
+            raise FrameError("rank of a run is out of range")
         if not run.account.isprintable():
-            raise FrameError("not a name of an account")
+            raise FrameError("account name is not printable")
         job = Job(
             run.boot,
             run.route,
@@ -89,43 +89,43 @@
         self._gate.submit(job)
 
     def on_cancel(self, link: PeerLink, number: int) -> None:
-        """Stop a run."""
+        """Cancel a run."""
         job = link.calls.get(number)
         if job is not None:
             self._gate.cancel(job)
 
     def on_fence(self, link: PeerLink, fence: Fence | FenceKey) -> None:
-        """Fence and reply."""
+        """Fence calls and reply with the verdicts."""
         self._counters.events["fences"] += 1
         if isinstance(fence, FenceKey):
-            raise FrameError("keys are not served here")
+            raise FrameError("fencing by key is not supported by a routing node")
         verdicts = [int(verdict) for verdict in self.fence(fence)]
         link.send(FenceReply(fence.number, verdicts))
 
     def on_configuration(self, link: PeerLink, request: ConfigurationRequest) -> None:
-        """Reply with the configuration held."""
+        """Reply with the configuration in force, if it is newer than the peer's."""
         holder = self._configuration
         newer = holder.version > request.known
         document = holder.document if newer else b""
         link.send(ConfigurationReply(request.number, holder.version, document))
 
     def on_closed(self, link: PeerLink) -> None:
-        """Stop the runs of a connection that is gone."""
+        """Cancel the runs received over a link that was closed."""
         super().on_closed(link)
         for job in list(link.calls.values()):
             self._gate.cancel(job)
 
     def on_call(self, link: PeerLink, call: Call) -> None:
-        """Refuse: calls with keys are served by nodes without routes."""
-        raise FrameError("calls are not served here")
+        """Reject calls with idempotency keys: only nodes without routes serve them."""
+        raise FrameError("calls with keys are not supported by a routing node")
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
-        """Refuse: no objectives are counted here."""
-        raise FrameError("no totals are kept here")
+        """Reject requests for error budget burn: totals are not kept here."""
+        raise FrameError("burn totals are not kept by a routing node")
 
     def on_epoch(self, link: PeerLink, request: EpochRequest) -> None:
-        """Refuse: no keys are issued here."""
-        raise FrameError("no keys are issued here")
+        """Reject requests for key epochs: keys are not issued here."""
+        raise FrameError("keys are not issued by a routing node")
 
     def _replier(
         self, link: PeerLink, number: int, operation: str
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Answers to requests that no upstream has run."""
+"""Responses to requests that are refused or that no upstream has run."""
 
 from __future__ import annotations
 
@@ -14,86 +14,88 @@
 if TYPE_CHECKING:
     from rattanfork_core.routes import Route
 
-#: Status that says that a request did not run and never will.
+#: Status of a request that did not run and will not run.
 NOT_RUN_STATUS = 503
 _NO_ROUTE_STATUS = 404
 
 
-class Refusals:
-    """Gives requests that have not run their final answers.
+class RefusalResponder:
+    """Sends and logs the final responses to requests that have not run.
 
     Parameters
     ==========
 
     names : HeaderNames
-        Headers to set.
+        Names of response headers.
     counters : Counters
-        What happened.
-    journal : Journal
-        Told what was decided on each request.
+        Counts refusals.
+    decision_log : Journal
+        Records each refusal.
     accounts : ClientAccounts
-        Told what does not count against quotas.
+        Refunds the quota of requests that have not run.
     """
 
     def __init__(
         self,
         names: HeaderNames,
         counters: Counters,
-        journal: DecisionLog,
+        decision_log: DecisionLog,
         accounts: ClientAccounts,
     ) -> None:
         self._names = names
         self._counters = counters
-        self._journal = journal
+        self._decision_log = decision_log
         self._accounts = accounts
 
     def refuse(
-        self, exchange: Exchange, reason: Reason, after: float, **inputs: object
+        self, exchange: Exchange, reason: Reason, retry_after: float, **inputs: object
     ) -> None:
-        """Refuse a request before any attempt."""
-        self._journal.on_refused(exchange, NOT_RUN_STATUS, reason, after, **inputs)
-        self.answer_not_run(exchange, reason, after)
+        """Refuse a request before any attempt; ``inputs`` go to the log."""
+        self._decision_log.on_refused(
+            exchange, NOT_RUN_STATUS, reason, retry_after, **inputs
+        )
+        self.answer_not_run(exchange, reason, retry_after)
 
     def refuse_without_route(self, exchange: Exchange) -> None:
-        """Refuse a request that no route takes."""
+        """Refuse a request that matches no route."""
         self._counters.events["relay.no-route"] += 1
-        self._journal.on_refused(exchange, _NO_ROUTE_STATUS, Reason.NO_ROUTE)
-        exchange.answer(_NO_ROUTE_STATUS, self.id_line(exchange))
+        self._decision_log.on_refused(exchange, _NO_ROUTE_STATUS, Reason.NO_ROUTE)
+        exchange.answer(_NO_ROUTE_STATUS, self.request_id_line(exchange))
 
     def refuse_account(
         self, exchange: Exchange, route: Route, refusal: Refusal
     ) -> None:
-        """Refuse a request for the sake of its key or its account."""
-        after = refusal.retry_after
-        self._journal.on_refused(
+        """Refuse a request because of its key or the quota of its account."""
+        retry_after = refusal.retry_after
+        self._decision_log.on_refused(
             exchange,
             refusal.status,
             refusal.reason,
-            after,
+            retry_after,
             route=route.name,
             waited_ms=round(exchange.waited * 1000, 1),
         )
-        if after:
-            self.answer_not_run(exchange, refusal.reason, after, refusal.status)
+        if retry_after:
+            self.answer_not_run(exchange, refusal.reason, retry_after, refusal.status)
             return
         self._counters.events[f"relay.refused.{refusal.reason.label}"] += 1
-        exchange.answer(refusal.status, self.id_line(exchange))
+        exchange.answer(refusal.status, self.request_id_line(exchange))
 
     def answer_not_run(
         self,
         exchange: Exchange,
         reason: Reason,
-        after: float,
+        retry_after: float,
         status: int = NOT_RUN_STATUS,
     ) -> None:
-        """Answer that a request has not run, and when its caller may come back."""
+        """Respond that a request has not run, with a Retry-After header."""
         self._counters.events[f"relay.refused.{reason.label}"] += 1
-        self._accounts.release(exchange)
-        line = b"Retry-After: %.2f\r\n" % after
-        exchange.answer(status, self.id_line(exchange) + line)
+        self._accounts.refund_quota(exchange)
+        line = b"Retry-After: %.2f\r\n" % retry_after
+        exchange.answer(status, self.request_id_line(exchange) + line)
 
-    def id_line(self, exchange: Exchange) -> bytes:
-        """Return the header that repeats the ID of a request."""
+    def request_id_line(self, exchange: Exchange) -> bytes:
+        """Return the header line that echoes the request ID, if there is one."""
         if not exchange.request_id:
             return b""
         return self._names.request_id + b": " + exchange.request_id + b"\r\n"
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -1,4 +1,4 @@
-"""Where requests by routes enter."""
+"""Entry point of routed requests: route lookup, admission and final response."""
 
 from __future__ import annotations
 
@@ -33,43 +33,45 @@
 from rattanfork_node.http1.handler import RequestHandler
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import PeerPool
-from rattanfork_node.relay.admitted_request import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import AdmittedRequest, AttemptRecord
 from rattanfork_node.relay.client_accounts import ClientAccounts
 from rattanfork_node.relay.decision_log import DecisionLog
 from rattanfork_node.relay.drain_policy import DrainPolicy
 from rattanfork_node.relay.forwarding import Forwarding
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.refusals import NOT_RUN_STATUS, Refusals
+from rattanfork_node.relay.refusals import NOT_RUN_STATUS, RefusalResponder
 from rattanfork_node.relay.request_rank import rank_of_request
 from rattanfork_node.relay.settings import RelaySettings
 from rattanfork_node.telemetry import Counters
 
 if TYPE_CHECKING:
-    from rattanfork_node.relay.rule_decisions import Ruler, Verdict
-
-#: Seconds before the deadline at which a request is given up, so that its
-#: answer still reaches the caller in time.
-_ANSWER_MARGIN = 0.015
-#: Seconds after which a caller comes back to a node that has no
-#: configuration yet; it reads one within about a second of its start.
-_NOT_READY_RETRY = 0.3
-_NOBODY: frozenset[str] = frozenset()
-#: What a caller gets where no upstream answered and the request may have run.
+    from rattanfork_node.relay.rule_decisions import RuleDecision, RuleEvaluator
+
+#: Time before the caller's deadline at which a request is given up, so that the
+#: response still reaches the caller in time.
+_ANSWER_MARGIN_S = 0.015
+#: Retry-After of a node that has no configuration yet; it reads one within about a
+#: second of its start.
+_NOT_READY_RETRY_S = 0.3
+_NO_INSTANCES: frozenset[str] = frozenset()
+#: Status without a response of an upstream, if the request may have run: after the
+#: deadline, and otherwise.
 _TIMEOUT_STATUS = 504
 _UNKNOWN_STATUS = 502
 
 
 class Relay(RequestHandler):
-    """Brings requests by routes to their final answers.
+    """Routes and admits requests and sends their final responses.
 
     Explanation
     ===========
 
-    A caller's request is refused here, before any work, if every instance
-    that could take it has announced that it, or a service deeper down, sheds
-    requests of this rank.  Calls of a run at this node's own upstream have
-    the rank of that run and are not refused here: what was begun should end.
+    A caller's request is refused here, before any work is done, if every instance
+    that could run it has announced that it, or a service further downstream, sheds
+    requests of this rank.  Calls that this node's own upstream makes during a run
+    inherit the rank of that run and are not refused here, since refusing them would
+    waste the work already done.
 
     Parameters
     ==========
@@ -77,33 +79,33 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of the spread of Retry-After.
+        Source of the jitter of Retry-After.
     settings : RelaySettings
-        Bounds.
+        Settings of the request path.
     names : HeaderNames
-        Headers to set.
+        Names of request and response headers.
     configuration : ConfigurationHolder
-        Routes.
+        The configuration in force, with the routes.
     rules : RevisionState
-        The operators' ordered rules; they stand above the routes.
+        The operators' ordered rules; they override the routes.
     directory : InstanceDirectory
-        Who serves what.
+        The instances of each service.
     membership : Membership
-        Told of members that are gone.
+        Gossip membership; told of members that were replaced.
     pool : PeerPool
-        Connections to other nodes.
+        Links to peer nodes.
     gate : Gate
-        This node's gate.
+        The gate of this node's upstream.
     counters : Counters
-        What happened.
-    journal : Journal
-        Told what was decided on each request.
+        Counts requests and events.
+    decision_log : Journal
+        Records the decisions on each request.
     reports : GateReports
-        What the gates of the fleet tell.
+        Thresholds and health that the gates of all nodes have reported.
     quarantine : Quarantine
-        Knows the requests that no upstream may run.
+        Fingerprints of requests that no upstream may run.
     accounts : ClientAccounts
-        Tells who sends a request, where requests carry keys.
+        Authenticates callers by API key, if the configuration has accounts.
     """
 
     def __init__(
@@ -119,7 +121,7 @@
         pool: PeerPool,
         gate: Gate,
         counters: Counters,
-        journal: DecisionLog,
+        decision_log: DecisionLog,
         reports: GateReports,
         quarantine: Quarantine,
         accounts: ClientAccounts,
@@ -131,35 +133,37 @@
         self.gate = gate
         self.counters = counters
         self.quarantine = quarantine
-        self.early = EarlyRefusal(clock)
-        #: Services behind the operations that callers ask for here.
+        self.early_refusal = EarlyRefusal(clock)
+        #: Services behind each operation, learned from the responses to callers.
         self.reach = ChainReach()
         self._reports = reports
-        self._chain = ChainThresholds(reports, self.reach, directory.instance_count)
-        self.my_name = membership.me.name
-        self._journal = journal
+        self._chain_thresholds = ChainThresholds(
+            reports, self.reach, directory.instance_count
+        )
+        self.own_name = membership.me.name
+        self._decision_log = decision_log
         self._accounts = accounts
-        self._refusals = Refusals(names, counters, journal, accounts)
-        accounts.let_in = self._take
+        self._refusals = RefusalResponder(names, counters, decision_log, accounts)
+        accounts.accept = self._route_request
         accounts.refuse = self._refusals.refuse_account
         self._random = random
         self._settings = settings
         self._configuration = configuration
         self._rules = rules
-        self._ruler: Ruler | None = None
+        self._rule_evaluator: RuleEvaluator | None = None
         self._membership = membership
-        self._departure: DrainPolicy | None = None
+        self._drain_policy: DrainPolicy | None = None
         self._operations: dict[tuple[str, str], str] = {}
         self._background: set[asyncio.Task] = set()
         self._caller_line = names.caller + b": " + settings.service.encode() + b"\r\n"
 
     def on_request(self, exchange: Exchange) -> None:
-        """Take a request that was read whole."""
+        """Handle a request whose head and body were read."""
         configuration = self._configuration.current
         if configuration is None or not self._rules.ready:
             is_call = self.gate.parent_of(exchange.request_id) is not None
             self._refusals.refuse(
-                exchange, Reason.NOT_READY, _NOT_READY_RETRY, is_call=is_call
+                exchange, Reason.NOT_READY, _NOT_READY_RETRY_S, is_call=is_call
             )
             return
         route = configuration.table.find(exchange.host, exchange.path)
@@ -168,12 +172,12 @@
             return
         accounts = configuration.accounts
         if accounts is None or self.gate.parent_of(exchange.request_id) is not None:
-            self._take(exchange, route)
+            self._route_request(exchange, route)
         else:
             self._accounts.admit(exchange, route, accounts)
 
-    def _take(self, exchange: Exchange, route: Route) -> None:
-        """Take a request whose sender is known."""
+    def _route_request(self, exchange: Exchange, route: Route) -> None:
+        """Route a request after authentication."""
         parent = self.gate.parent_of(exchange.request_id)
         if self.quarantine.active and self.quarantine.contains(exchange.fingerprint):
             self._refusals.refuse(
@@ -188,91 +192,97 @@
         service = self._configuration.next_service(route)
         picker = self.directory.picker(service)
         if picker is None or not picker.subset:
-            after = self._settings.retry_after
+            retry_after = self._settings.retry_after
             self._refusals.refuse(
                 exchange,
                 Reason.NO_INSTANCE,
-                after,
+                retry_after,
                 is_call=parent is not None,
                 route=route.name,
             )
         elif parent is not None:
             rank = rank_of_call(parent.rank, parent.succeeded_calls)
-            blocked = self._blocked(picker, route, service, rank)
+            blocked = self._shedding_instances(picker, route, service, rank)
             self._forward(
-                exchange, route, service, rank, parent, picker, blocked or _NOBODY
+                exchange, route, service, rank, parent, picker, blocked or _NO_INSTANCES
             )
         else:
-            self._take_root(exchange, route, service, picker)
+            self._admit_root(exchange, route, service, picker)
 
-    def _take_root(
+    def _admit_root(
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
     ) -> None:
-        """Let a caller's request in, or refuse it before any work is done."""
-        elsewhere = _NOBODY
+        """Apply rules and load shedding to a caller's request; forward or refuse it."""
+        outside = _NO_INSTANCES
         rule = ""
-        rule_decides = False
+        rule_sets_importance = False
         if self._rules.revision:
-            verdict = self._rule(exchange, route, service, picker)
-            rule, route = verdict.rule, verdict.route
-            rule_decides = verdict.sets_importance
-            if verdict.refusal is not None:
-                after = verdict.retry_after or self._settings.retry_after
+            decision = self._evaluate_rules(exchange, route, service, picker)
+            rule, route = decision.rule, decision.route
+            rule_sets_importance = decision.sets_importance
+            if decision.refusal is not None:
+                retry_after = decision.retry_after or self._settings.retry_after
                 self._refusals.refuse(
-                    exchange, verdict.refusal, after, route=route.name, rule=rule
+                    exchange, decision.refusal, retry_after, route=route.name, rule=rule
                 )
                 return
-            if verdict.data_centre is not None:
-                elsewhere = picker.outside(verdict.data_centre)
-        if self._departure is not None and not self._departure.accepts(route, picker):
-            after = self._settings.retry_after
-            self._refusals.refuse(exchange, Reason.LEAVING, after, route=route.name)
+            if decision.data_centre is not None:
+                outside = picker.outside(decision.data_centre)
+        if self._drain_policy is not None and not self._drain_policy.accepts(
+            route, picker
+        ):
+            retry_after = self._settings.retry_after
+            self._refusals.refuse(
+                exchange, Reason.LEAVING, retry_after, route=route.name
+            )
             return
-        rank = rank_of_request(exchange, route, rule_decides)
+        rank = rank_of_request(exchange, route, rule_sets_importance)
         operation = self.operation(route, service)
         blocked = None
-        if rank < self._chain.cut(operation, service):
-            blocked = self._blocked(picker, route, service, rank)
+        if rank < self._chain_thresholds.cut(operation, service):
+            blocked = self._shedding_instances(picker, route, service, rank)
         if blocked is None:
             self._refusals.refuse(
                 exchange,
                 Reason.SHED_EARLY,
-                self._return_after(rank),
+                self._spread_retry_after(rank),
                 route=route.name,
                 rank=round(rank, 3),
-                thresholds=self.early.told(picker, operation),
-                chain=self._chain.told(operation, service),
+                thresholds=self.early_refusal.told(picker, operation),
+                chain=self._chain_thresholds.told(operation, service),
             )
             return
         self._forward(
-            exchange, route, service, rank, None, picker, blocked, elsewhere, rule
+            exchange, route, service, rank, None, picker, blocked, outside, rule
         )
 
-    def _blocked(
+    def _shedding_instances(
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
-        """Return the instances to leave out for a rank; None if all would shed it."""
-        blocked = self.early.blocked(picker, self.operation(route, service), rank)
+        """Return the instances that would shed a rank; None if all have said so."""
+        blocked = self.early_refusal.blocked(
+            picker, self.operation(route, service), rank
+        )
         if blocked is None or not len(self._reports):
             return blocked
         shedding = set()
         for state in picker.subset:
-            cut, state.impaired_until = self._reports.about(service, state.name)
-            if cut <= rank:
+            threshold, state.impaired_until = self._reports.about(service, state.name)
+            if threshold <= rank:
                 shedding.add(state.name)
-        # Each gate may be asked if all shed: it judges for itself.
+        # Reports may be outdated: if all instances shed, any gate may still be asked.
         return blocked | shedding if len(shedding) < len(picker.subset) else blocked
 
-    def drain(self, departure: DrainPolicy) -> None:
-        """Take only what a departing node does.
+    def drain(self, policy: DrainPolicy) -> None:
+        """Accept only callers' requests that a drain policy accepts.
 
-        Calls of runs at the node's own upstream are taken until the end: those
-        runs were begun, and could not end without them.
+        Calls of runs at the node's own upstream are accepted until the node exits,
+        as those runs can't finish without them.
         """
-        self._departure = departure
+        self._drain_policy = policy
 
     def operation(self, route: Route, service: str) -> str:
-        """Return the name under which thresholds of a route are kept."""
+        """Return the key under which thresholds of a route and service are kept."""
         key = (route.name, service)
         name = self._operations.get(key)
         if name is None:
@@ -281,16 +291,16 @@
             name = self._operations[key] = f"{route.name}/{service}"
         return name
 
-    def bury(self, name: str) -> None:
-        """Take note that another process answers at a member's address."""
+    def mark_dead(self, name: str) -> None:
+        """Record that another process answers at a member's address."""
         self._membership.bury(name)
 
-    def suspect(self, name: str) -> None:
-        """Take note that no connection to a member could be made."""
+    def count_unreachable(self, name: str) -> None:
+        """Count a failed connection to a member."""
         self.counters.events["relay.unreachable"] += 1
 
     def spawn(self, work: Coroutine) -> None:
-        """Run what must wait for something."""
+        """Run a coroutine in the background until ``close``."""
         task = asyncio.ensure_future(work)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
@@ -298,32 +308,32 @@
     def finish(
         self,
         exchange: Exchange,
-        admitted: Admitted,
-        attempted: list[Attempted],
+        admitted: AdmittedRequest,
+        attempts: list[AttemptRecord],
         result: CallResult,
     ) -> None:
-        """Give a request its final answer."""
+        """Send the final response to a request."""
         parent = admitted.parent
         if parent is not None:
-            parent.cancels.pop(id(exchange), None)
-            self._pass_up(parent, admitted, result)
+            parent.call_cancels.pop(id(exchange), None)
+            self._report_to_parent(parent, admitted, result)
         outcome, reason = result.outcome, result.reason
         name = admitted.route.name
         self.counters.requests[outcome.label, name, reason.label] += 1
         status = result.status or _status_without_answer(outcome, reason)
-        self._journal.on_finished(exchange, admitted, attempted, result, status)
+        self._decision_log.on_finished(exchange, admitted, attempts, result, status)
         if result.status:
             exchange.answer(status, result.block, result.body)
         elif outcome is Outcome.NOT_RUN:
-            after = self._return_after(admitted.rank)
+            retry_after = self._spread_retry_after(admitted.rank)
             if reason is Reason.QUARANTINED:
-                after = self.quarantine.seconds_left(exchange.fingerprint)
-            self._refusals.answer_not_run(exchange, reason, after)
+                retry_after = self.quarantine.seconds_left(exchange.fingerprint)
+            self._refusals.answer_not_run(exchange, reason, retry_after)
         else:
-            exchange.answer(status, self._refusals.id_line(exchange))
+            exchange.answer(status, self._refusals.request_id_line(exchange))
 
     def close(self) -> None:
-        """Stop what waits."""
+        """Cancel background tasks."""
         for task in self._background:
             task.cancel()
 
@@ -336,17 +346,17 @@
         parent: Job | None,
         picker: InstancePicker,
         blocked: frozenset[str],
-        ruled_out: frozenset[str] = _NOBODY,
+        ruled_out: frozenset[str] = _NO_INSTANCES,
         rule: str = "",
     ) -> None:
         now = self.clock.now()
         began = now - exchange.waited
-        deadline = began + route.timeout - _ANSWER_MARGIN
+        deadline = began + route.timeout - _ANSWER_MARGIN_S
         if exchange.wait is not None:
-            deadline = min(deadline, began + exchange.wait - _ANSWER_MARGIN)
+            deadline = min(deadline, began + exchange.wait - _ANSWER_MARGIN_S)
         if parent is not None:
             deadline = min(deadline, parent.deadline)
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             route,
             service,
             self.operation(route, service),
@@ -361,38 +371,44 @@
         )
         forwarding = Forwarding(self, exchange, admitted)
         if parent is not None:
-            parent.cancels[id(exchange)] = forwarding.on_caller_left
+            parent.call_cancels[id(exchange)] = forwarding.on_caller_disconnected
         forwarding.start()
 
-    def _rule(
+    def _evaluate_rules(
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
-    ) -> Verdict:
-        if self._ruler is None:
-            from rattanfork_node.relay.rule_decisions import Ruler
+    ) -> RuleDecision:
+        if self._rule_evaluator is None:
+            from rattanfork_node.relay.rule_decisions import RuleEvaluator
 
-            self._ruler = Ruler(self.clock, self._settings.data_centre)
-        return self._ruler.rule(
+            self._rule_evaluator = RuleEvaluator(self.clock, self._settings.data_centre)
+        return self._rule_evaluator.evaluate(
             self._rules.rules,
             route,
             exchange.account,
             service,
             exchange.method.decode("latin-1"),
             exchange.account_name or self._settings.service,
-            self.early.pressure(picker, self.operation(route, service)),
+            self.early_refusal.pressure(picker, self.operation(route, service)),
         )
 
-    def _pass_up(self, parent: Job, admitted: Admitted, result: CallResult) -> None:
+    def _report_to_parent(
+        self, parent: Job, admitted: AdmittedRequest, result: CallResult
+    ) -> None:
         operation, picker = admitted.operation, admitted.picker
-        own_cut = self.gate.threshold(operation)
-        cut = self.early.highest(picker, operation, self.my_name, own_cut)
-        if cut is not None:
-            parent.heard_cut = min(parent.heard_cut, cut)
+        own_threshold = self.gate.threshold(operation)
+        threshold = self.early_refusal.highest(
+            picker, operation, self.own_name, own_threshold
+        )
+        if threshold is not None:
+            parent.lowest_called_threshold = min(
+                parent.lowest_called_threshold, threshold
+            )
         if result.status < 200 or result.status >= 300:
             parent.failed_calls += 1
         else:
             parent.succeeded_calls += 1
 
-    def _return_after(self, rank: float) -> float:
+    def _spread_retry_after(self, rank: float) -> float:
         return spread_retry_after(self._settings.retry_after, rank, self._random)
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
@@ -1,4 +1,4 @@
-"""The place of callers' requests in the order of shedding."""
+"""Ranks callers' requests for load shedding."""
 
 from __future__ import annotations
 
@@ -14,8 +14,13 @@
     from rattanfork_node.http1 import Exchange
 
 
-def rank_of_request(exchange: Exchange, route: Route, rule_decides: bool) -> float:
-    """Return the rank of a caller's request.
+def rank_of_request(
+    exchange: Exchange, route: Route, rule_sets_importance: bool
+) -> float:
+    """Return the rank of a caller's request; higher ranks are shed first.
+
+    The whole part is the importance level, the fraction a hash of the request ID
+    (its fate), so that all gates shed the same requests of one level.
 
     Parameters
     ==========
@@ -23,14 +28,14 @@
     exchange : Exchange
         The request.
     route : Route
-        Its route, as rules have changed it.
-    rule_decides : bool
-        Whether a rule says how much it matters, whoever sends it.
+        Its route, after rules were applied.
+    rule_sets_importance : bool
+        Whether a rule sets the importance, which then overrides the account's.
     """
     level = importance_of(route.priority)
     rank = level + request_fate(exchange.request_id.decode("latin-1"))
     account = exchange.account
-    if rule_decides or account is None or account.priority is None:
+    if rule_sets_importance or account is None or account.priority is None:
         return rank
-    # Among accounts of one priority the route's orders.
+    # The route's priority orders the requests of accounts with equal priority.
     return importance_of(account.priority) + rank / RANKS
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -1,7 +1,7 @@
-"""Applies the operators' ordered rules to requests by routes.
+"""Applies the operators' ordered rules to routed requests.
 
-The library that checks rules is large, so this module is imported only by a
-node that has rules.
+The validation library that this module imports is large, so it is imported only
+by nodes that have rules.
 """
 
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """How the first rule that matches has a request treated.
+class RuleDecision:
+    """What the first matching rule decides on a request.
 
     Parameters
     ==========
@@ -24,15 +24,15 @@
     rule : str
         Name of the rule; "-" if none matches.
     route : Route
-        The route, with what the rule changes of it.
+        The route, with the rule's changes.
     data_centre : str or None
-        The only data centre whose instances may run it.
+        The only data centre whose instances may run it; None for any.
     refusal : Reason or None
-        Why it is refused; None if it is not.
+        Reason for refusing it; None if it is not refused.
     retry_after : float
-        Seconds after which a refused caller should come back; 0 if unsaid.
+        Retry-After of a refusal, in seconds; 0 if the rule sets none.
     sets_importance : bool
-        Whether the rule says how much the request matters, whoever sends it.
+        Whether the rule sets the importance of the request.
     """
 
     rule: str
@@ -43,8 +43,8 @@
     sets_importance: bool = False
 
 
-class Ruler:
-    """Applies ordered rules to requests by routes, and counts for their limits.
+class RuleEvaluator:
+    """Applies ordered rules to routed requests and enforces their rate limits.
 
     Parameters
     ==========
@@ -52,14 +52,14 @@
     clock : Clock
         Source of the current time.
     data_centre : str
-        Where this node runs.
+        Data centre of this node.
     """
 
     def __init__(self, clock: Clock, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._book = CallerBook(clock)
+        self._caller_limits = CallerBook(clock)
 
-    def rule(
+    def evaluate(
         self,
         rules: RuleSet,
         route: Route,
@@ -68,27 +68,29 @@
         method: str,
         caller: str,
         load: float,
-    ) -> Verdict:
-        """Return the verdict on a request."""
+    ) -> RuleDecision:
+        """Return the decision on a request."""
         priority = None if account is None else account.priority
         facts = facts_of_route(
             route, service, method, caller, self._data_centre, load, priority
         )
-        found = rules.first_match(facts)
-        ruling = rule_on(route, found)
+        matched = rules.first_match(facts)
+        effect = rule_on(route, matched)
         refusal, after = None, 0.0
-        if ruling.refuse_after is not None:
-            refusal, after = Reason.RULE, ruling.refuse_after
-        elif found is not None and found.action.rate is not None:
-            who = caller if found.action.rate_per_caller else ""
-            limit = self._book.limit(found.name, who, found.action.rate)
+        if effect.refuse_after is not None:
+            refusal, after = Reason.RULE, effect.refuse_after
+        elif matched is not None and matched.action.rate is not None:
+            limited_caller = caller if matched.action.rate_per_caller else ""
+            limit = self._caller_limits.limit(
+                matched.name, limited_caller, matched.action.rate
+            )
             if not limit.take():
                 refusal, after = Reason.LIMIT, limit.delay
-        sets_importance = found is not None and found.action.importance is not None
-        return Verdict(
-            ruling.rule,
-            ruling.route,
-            ruling.data_centre,
+        sets_importance = matched is not None and matched.action.importance is not None
+        return RuleDecision(
+            effect.rule,
+            effect.route,
+            effect.data_centre,
             refusal,
             after,
             sets_importance,
--- a/packages/rattanfork-node/rattanfork_node/relay/settings.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the path of a request by routes."""
+"""Settings of the request path of a routing node."""
 
 from dataclasses import dataclass, field
 
@@ -7,31 +7,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Settings of the path of a request by routes.
+    """Settings of the request path of a routing node.
 
     Parameters
     ==========
 
     service : str
-        Service of this node's upstream.
+        Service that this node's upstream belongs to.
     data_centre : str
-        Where this node runs.
+        Data centre of this node.
     retry_after : float
-        Shortest time, in seconds, for which a refused caller stays away.
-        Callers wait at most a third of the time they have left, so more
-        would not be heeded.
+        Smallest Retry-After of a refusal, in seconds.  Callers wait at most a
+        third of the time they have left, so a larger value has no effect.
     retry_budget_ratio : float
-        Repeated arrivals that a service may get for each request, over all
-        nodes.
+        Retries per request that a service may receive, over all nodes.
     retry_budget_extra : float
-        Repeated arrivals that it may get besides in one window, over all.
+        Retries per window that it may receive in addition, over all nodes.
     retry_budget_window : float
-        Length of that window, in seconds.
+        Length of the retry budget's window, in seconds.
     revoke_within : float or None
-        Seconds in which a key that was taken away must be out of use at every node;
-        None if that binds only nodes that reach the store.
+        Seconds within which every node must reject a revoked key; None if only
+        nodes that reach the store are bound.
     quota : QuotaBound
-        By how much quotas may be exceeded.
+        How far client accounts may exceed their quotas.
     """
 
     service: str
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -223,12 +223,12 @@
         self.taken: list[str] = []
         self.returned: list[str] = []
 
-    def take(self, account, decided) -> None:
+    def take(self, account, on_verdict) -> None:
         self.taken.append(account.name)
         if self.verdict is None:
-            self.pending.append(decided)
+            self.pending.append(on_verdict)
         else:
-            decided(self.verdict, self.retry_after)
+            on_verdict(self.verdict, self.retry_after)
 
     def give_back(self, account, granted_at) -> None:
         self.returned.append(account.name)
@@ -237,7 +237,7 @@
         pass
 
 
-class FakeConnectionOfClient:
+class FakeClientConnection:
     """Takes the answers of an exchange."""
 
     def flush_answers(self) -> None:
@@ -284,7 +284,7 @@
         self.lease = ConfigurationLease(self.clock)
         self.lease.confirm(self.clock.now())
         self.quota = FakeQuota()
-        self.proofs_wanted = 0
+        self.confirmations_requested = 0
         self.accounts = ClientAccounts(
             self.clock,
             holder,
@@ -292,7 +292,7 @@
             self.quota,
             self.counters,
             revoke_within,
-            self._want_proof,
+            self._request_confirmation,
         )
         self.rules = RevisionState()
         self.rules.hear_from_store(None)
@@ -329,8 +329,8 @@
         self.holder.offer(b"-")
         self.accounts.recheck_waiting()
 
-    def _want_proof(self) -> None:
-        self.proofs_wanted += 1
+    def _request_confirmation(self) -> None:
+        self.confirmations_requested += 1
 
     def accept_rules(self, text: str) -> None:
         """Let a document of rules be in force."""
@@ -346,11 +346,11 @@
         """All runs sent, with their links, in the order they were sent."""
         return [(link, i) for link in self.links for i in range(len(link.runs))]
 
-    def ask(
+    def send_request(
         self, path: str = "/a/x", request_id: str = "r1", wait=None, keys=()
     ) -> Exchange:
         exchange = Exchange(
-            FakeConnectionOfClient(),
+            FakeClientConnection(),
             b"GET",
             path.encode(),
             "h",
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -30,14 +30,14 @@
 @on_loop
 async def test_known_key_is_let_in_as_its_account():
     each = world()
-    each.ask(keys=[b"key-of-clerks"])
+    each.send_request(keys=[b"key-of-clerks"])
     assert run_of(each).account == "clerks"
 
 
 @on_loop
 async def test_without_accounts_no_key_is_asked_for():
     each = RelayHarness(peers=1)
-    each.ask()
+    each.send_request()
     assert run_of(each).account == ""
 
 
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("keys", [(), (b"",), (b"key-of-clerks", b"key-of-clerks")])
 async def test_request_without_one_key_is_unauthenticated(keys):
     each = world()
-    exchange = each.ask(keys=keys)
+    exchange = each.send_request(keys=keys)
     each.accounts.tick()
     if len(keys) == 1:
         each.clock.advance(0.1)
@@ -58,9 +58,9 @@
 @on_loop
 async def test_anonymous_route_needs_no_key_and_takes_any():
     each = world(anonymous=True)
-    each.ask(request_id="r1")
-    each.ask(request_id="r2", keys=[b"wrong"])
-    each.ask(request_id="r3", keys=[b"key-of-clerks"])
+    each.send_request(request_id="r1")
+    each.send_request(request_id="r2", keys=[b"wrong"])
+    each.send_request(request_id="r3", keys=[b"key-of-clerks"])
     runs = [run for run, _ in each.links[0].runs]
     assert [run.account for run in runs] == ["", "", "clerks"]
 
@@ -69,9 +69,9 @@
 async def test_unknown_key_waits_for_a_newer_configuration():
     """Guards against a final refusal of a key that was added a moment ago."""
     each = world()
-    exchange = each.ask(keys=[b"new-key"])
+    exchange = each.send_request(keys=[b"new-key"])
     assert status_of(exchange) is None
-    assert each.proofs_wanted
+    assert each.confirmations_requested
     each.clock.advance(0.3)
     each.change_accounts({**ACCOUNTS, ClientAccount("new"): ["new-key"]})
     assert run_of(each).account == "new"
@@ -81,7 +81,7 @@
 async def test_unknown_key_is_refused_once_nothing_newer_is_proven():
     each = world()
     each.clock.advance(0.1)
-    exchange = each.ask(keys=[b"wrong"])
+    exchange = each.send_request(keys=[b"wrong"])
     each.clock.advance(0.3)
     each.accounts.tick()
     assert status_of(exchange) is None
@@ -95,7 +95,7 @@
     """Guards against 401 for a good key at a node that has lost its store."""
     each = world()
     each.clock.advance(4.0)
-    exchange = each.ask(keys=[b"new-key"])
+    exchange = each.send_request(keys=[b"new-key"])
     for _ in range(15):
         each.clock.advance(0.1)
         each.accounts.tick()
@@ -109,7 +109,7 @@
     """Guards against memory and store calls that grow with wrong keys."""
     each = world()
     for number in range(1000):
-        each.ask(request_id=f"r{number}", keys=[b"wrong"])
+        each.send_request(request_id=f"r{number}", keys=[b"wrong"])
     assert each.accounts.waiting == 256
 
 
@@ -119,7 +119,7 @@
     """Guards against a key that was taken away while the node was partitioned."""
     each = world()
     each.clock.advance(age)
-    exchange = each.ask(keys=[b"key-of-clerks"])
+    exchange = each.send_request(keys=[b"key-of-clerks"])
     assert status_of(exchange) == status
     assert len(each.runs) == (status is None)
 
@@ -128,7 +128,7 @@
 async def test_key_counts_without_proof_where_only_reachable_nodes_are_bound():
     each = world(revoke_within=None)
     each.clock.advance(60.0)
-    each.ask(keys=[b"key-of-clerks"])
+    each.send_request(keys=[b"key-of-clerks"])
     assert len(each.runs) == 1
 
 
@@ -136,8 +136,8 @@
 async def test_anonymous_route_goes_on_without_a_recent_proof():
     each = world(anonymous=True)
     each.clock.advance(60.0)
-    each.ask()
-    each.ask(request_id="r2", keys=[b"key-of-clerks"])
+    each.send_request()
+    each.send_request(request_id="r2", keys=[b"key-of-clerks"])
     assert [run.account for run, _ in each.links[0].runs] == ["", ""]
 
 
@@ -145,7 +145,7 @@
 async def test_key_that_was_taken_away_is_unknown():
     each = world()
     each.change_accounts({CLERKS: ["key-of-clerks"]})
-    exchange = each.ask(keys=[b"old-key"])
+    exchange = each.send_request(keys=[b"old-key"])
     each.clock.advance(0.2)
     each.lease.confirm(each.clock.now())
     each.accounts.recheck_waiting()
@@ -156,7 +156,7 @@
 async def test_exhausted_quota_is_answered_429_with_when_to_come_back():
     each = world()
     each.quota.verdict, each.quota.retry_after = Verdict.EXHAUSTED, 0.75
-    status, block, _ = each.ask(keys=[b"key-of-clerks"]).output
+    status, block, _ = each.send_request(keys=[b"key-of-clerks"]).output
     assert status == 429
     assert b"Retry-After: 0.75\r\n" in block
     assert each.runs == []
@@ -166,7 +166,7 @@
 async def test_unreachable_quota_is_answered_as_not_run():
     each = world()
     each.quota.verdict, each.quota.retry_after = Verdict.UNREACHABLE, 0.5
-    assert status_of(each.ask(keys=[b"key-of-clerks"])) == 503
+    assert status_of(each.send_request(keys=[b"key-of-clerks"])) == 503
 
 
 @on_loop
@@ -174,17 +174,17 @@
     """Guards against a caller that waits longer than its route allows."""
     each = world()
     each.quota.verdict = None
-    each.ask(keys=[b"key-of-clerks"], wait=0.8)
+    each.send_request(keys=[b"key-of-clerks"], wait=0.8)
     each.clock.advance(0.3)
-    [decided] = each.quota.pending
-    decided(Verdict.GRANTED, 0.0)
+    [on_verdict] = each.quota.pending
+    on_verdict(Verdict.GRANTED, 0.0)
     assert run_of(each).time_left <= 500
 
 
 @on_loop
 async def test_quota_is_given_back_for_what_did_not_run():
     each = world()
-    exchange = each.ask(keys=[b"key-of-clerks"])
+    exchange = each.send_request(keys=[b"key-of-clerks"])
     each.links[0].reply(0, int(Outcome.NOT_RUN), 1)
     assert status_of(exchange) == 503
     assert each.quota.returned == ["clerks"]
@@ -193,7 +193,7 @@
 @on_loop
 async def test_quota_is_not_given_back_for_what_ran():
     each = world()
-    exchange = each.ask(keys=[b"key-of-clerks"])
+    exchange = each.send_request(keys=[b"key-of-clerks"])
     each.links[0].reply(0, int(Outcome.ANSWERED), status=200)
     assert status_of(exchange) == 200
     assert each.quota.returned == []
@@ -203,10 +203,10 @@
 async def test_quota_is_given_back_by_a_caller_that_has_left():
     each = world()
     each.quota.verdict = None
-    exchange = each.ask(keys=[b"key-of-clerks"])
+    exchange = each.send_request(keys=[b"key-of-clerks"])
     exchange.answered = True
-    [decided] = each.quota.pending
-    decided(Verdict.GRANTED, 0.0)
+    [on_verdict] = each.quota.pending
+    on_verdict(Verdict.GRANTED, 0.0)
     assert each.runs == []
     assert each.quota.returned == ["clerks"]
 
@@ -214,8 +214,8 @@
 @on_loop
 async def test_priority_of_the_account_goes_before_that_of_the_route():
     each = world(priority=2)
-    each.ask(request_id="r1", keys=[b"key-of-clerks"])
-    each.ask(request_id="r2", keys=[b"key-of-auditors"])
+    each.send_request(request_id="r1", keys=[b"key-of-clerks"])
+    each.send_request(request_id="r2", keys=[b"key-of-auditors"])
     clerks, auditors = (run.rank for run, _ in each.links[0].runs)
     assert 0 <= auditors < 1 <= clerks < 2
 
@@ -225,7 +225,7 @@
     ranks = []
     for priority in (0, 2):
         each = world(priority=priority)
-        each.ask(keys=[b"key-of-clerks"])
+        each.send_request(keys=[b"key-of-clerks"])
         ranks.append(run_of(each).rank)
     assert ranks[0] < ranks[1]
 
@@ -234,7 +234,7 @@
 async def test_rule_that_sets_the_importance_goes_before_the_account():
     each = world()
     each.accept_rules("rules: [{name: a, then: {importance: background}}]")
-    each.ask(keys=[b"key-of-auditors"])
+    each.send_request(keys=[b"key-of-auditors"])
     assert 4 <= run_of(each).rank < 5
 
 
@@ -244,8 +244,10 @@
     each.accept_rules(
         "rules: [{name: a, when: {caller: clerks}, then: {refuse: {retry_after: 3}}}]"
     )
-    assert status_of(each.ask(keys=[b"key-of-clerks"])) == 503
-    assert status_of(each.ask(request_id="r2", keys=[b"key-of-auditors"])) is None
+    assert status_of(each.send_request(keys=[b"key-of-clerks"])) == 503
+    assert (
+        status_of(each.send_request(request_id="r2", keys=[b"key-of-auditors"])) is None
+    )
 
 
 @on_loop
@@ -253,19 +255,19 @@
     """Guards against one account blocking another, and a new key freeing itself."""
     each = world()
     ids = iter("abcdef")
-    first = each.ask(request_id=next(ids), keys=[b"key-of-clerks"])
-    again = each.ask(request_id=next(ids), keys=[b"old-key"])
-    other = each.ask(request_id=next(ids), keys=[b"key-of-auditors"])
+    first = each.send_request(request_id=next(ids), keys=[b"key-of-clerks"])
+    again = each.send_request(request_id=next(ids), keys=[b"old-key"])
+    other = each.send_request(request_id=next(ids), keys=[b"key-of-auditors"])
     assert first.fingerprint == again.fingerprint != other.fingerprint
 
 
 @on_loop
 async def test_no_line_holds_a_key():
     each = world()
-    each.ask(request_id="r1", keys=[b"key-of-clerks"])
+    each.send_request(request_id="r1", keys=[b"key-of-clerks"])
     each.quota.verdict = Verdict.EXHAUSTED
-    each.ask(request_id="r2", keys=[b"old-key"])
-    each.ask(request_id="r3", keys=[b"a-wrong-key"])
+    each.send_request(request_id="r2", keys=[b"old-key"])
+    each.send_request(request_id="r3", keys=[b"a-wrong-key"])
     each.clock.advance(0.1)
     each.lease.confirm(each.clock.now())
     each.accounts.recheck_waiting()
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -17,10 +17,10 @@
     long ago, and which configuration was in force.
     """
     world = RelayHarness(peers=1)
-    world.ask()
+    world.send_request()
     world.links[0].reply(0, ANSWERED, status=200, cut=2.0)
     world.clock.advance(0.125)
-    world.ask(request_id="r2")
+    world.send_request(request_id="r2")
     line = world.log.lines[-1]
     assert (line["kind"], line["id"], line["reason"]) == ("request", "r2", "shed-early")
     assert [*line["thresholds"].values()] == [(2.0, 0.125)]
@@ -32,7 +32,7 @@
 async def test_the_line_of_a_request_has_every_attempt_in_order():
     """The first instance fails by itself, the second answers."""
     world = RelayHarness(peers=2, most_upstreams=2)
-    world.ask()
+    world.send_request()
     [(first, place)] = world.runs
     world.clock.advance(0.02)
     failed = Reason.UPSTREAM_FAILED
@@ -53,7 +53,7 @@
     """A posting's link is lost after it was handed over; nobody knows its end."""
     world = RelayHarness(peers=1, idempotent=False)
     world.pool.verdicts = [FenceVerdict.HANDED_OVER]
-    world.ask()
+    world.send_request()
     [(link, place)] = world.runs
     link.lose(place)
     for _ in range(5):
@@ -102,18 +102,18 @@
     world = RelayHarness(peers=1)
     [link] = world.links
     for number, (status, wait) in enumerate([(200, 0.1), (200, 5.0), (500, 0.1)]):
-        world.ask(request_id=f"r{number}")
+        world.send_request(request_id=f"r{number}")
         world.clock.advance(wait)
         link.reply(number, ANSWERED, status=status)
-    world.ask(request_id="left").on_gone()
+    world.send_request(request_id="left").on_gone()
     world.gate_world.submit("run", deadline=world.clock.now() + 2)
-    world.ask("/i/x", request_id="run.0123456789abcdef")
+    world.send_request("/i/x", request_id="run.0123456789abcdef")
     link.reply(4, ANSWERED, status=200, cut=0.0)
     link.reply(3, ANSWERED, status=200, cut=0.0)
-    world.ask(request_id="refused")
+    world.send_request(request_id="refused")
     assert counted(world) == {"r": (1, 3)}
     world = RelayHarness()
-    world.ask()
+    world.send_request()
     assert counted(world) == {"r": (0, 1)}
 
 
@@ -121,11 +121,11 @@
 async def test_attempts_of_one_caller_share_a_fingerprint():
     """Guards against lines by which nobody sees that a request has come again."""
     world = RelayHarness(peers=1)
-    world.ask("/a/x", request_id="r1")
+    world.send_request("/a/x", request_id="r1")
     world.links[0].reply(0, UNKNOWN, Reason.CONNECTION)
-    world.ask("/a/x", request_id="r2")
+    world.send_request("/a/x", request_id="r2")
     world.links[0].reply(1, UNKNOWN, Reason.CONNECTION)
-    world.ask("/a/y", request_id="r3")
+    world.send_request("/a/y", request_id="r3")
     world.links[0].reply(2, UNKNOWN, Reason.CONNECTION)
     first, again, other = (line["fingerprint"] for line in world.log.lines)
     assert first == again != other
@@ -135,7 +135,7 @@
 async def test_gate_and_first_node_give_a_request_the_same_fingerprint():
     """Guards against lines of two nodes that can't be put together."""
     world = RelayHarness(peers=1)
-    world.ask("/a/x")
+    world.send_request("/a/x")
     run = world.links[0].runs[0][0]
     world.links[0].reply(0, UNKNOWN, Reason.CONNECTION)
     gate = GateHarness()
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -99,7 +99,7 @@
 
 async def _play(faults: tuple[Fault, ...], idempotent: bool) -> None:
     world = RelayHarness(peers=3, idempotent=idempotent, most_upstreams=2)
-    exchange = world.ask()
+    exchange = world.send_request()
     seen: set = set()
     struck: list[Fault] = []
     gates = Gates(world)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_quarantine.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_quarantine.py
@@ -16,10 +16,10 @@
 @on_loop
 async def test_first_node_refuses_what_is_quarantined():
     world = RelayHarness(peers=1)
-    first = world.ask("/a/x")
+    first = world.send_request("/a/x")
     quarantine(world, first.fingerprint)
-    refused = world.ask("/a/x", request_id="r2")
-    other = world.ask("/a/y", request_id="r3")
+    refused = world.send_request("/a/x", request_id="r2")
+    other = world.send_request("/a/y", request_id="r3")
     status, block, _ = refused.output
     assert status == 503
     assert b"Retry-After: 60" in block
@@ -31,10 +31,10 @@
 @on_loop
 async def test_quarantined_request_is_let_in_after_its_time():
     world = RelayHarness(peers=1)
-    first = world.ask("/a/x")
+    first = world.send_request("/a/x")
     quarantine(world, first.fingerprint)
     world.clock.advance(301)
-    world.ask("/a/x", request_id="r2")
+    world.send_request("/a/x", request_id="r2")
     assert len(world.links[0].runs) == 2
 
 
@@ -62,7 +62,7 @@
 @on_loop
 async def test_caller_of_a_request_refused_at_a_gate_learns_when_to_return():
     world = RelayHarness(peers=1)
-    exchange = world.ask("/a/x")
+    exchange = world.send_request("/a/x")
     quarantine(world, exchange.fingerprint)
     world.links[0].reply(0, NOT_RUN, Reason.QUARANTINED)
     status, block, _ = exchange.output
@@ -74,7 +74,7 @@
 async def test_request_that_lost_two_upstreams_is_not_sent_to_a_third():
     """Guards against one attempt that ends every instance of a service."""
     world = RelayHarness(peers=4, most_upstreams=4)
-    exchange = world.ask("/a/x")
+    exchange = world.send_request("/a/x")
     for _ in range(4):
         for link, place in world.runs:
             if place == len(link.runs) - 1 and not exchange.answered:
@@ -87,7 +87,7 @@
 async def test_lost_run_is_sent_to_a_second_upstream_beside_other_suspects():
     """Guards against reads that fail whenever an upstream ends by itself."""
     world = RelayHarness(peers=2, most_upstreams=2)
-    exchange = world.ask("/a/x")
+    exchange = world.send_request("/a/x")
     world.quarantine.report(1, [exchange.fingerprint])
     [(link, place)] = world.runs
     link.reply(place, UNKNOWN, Reason.CONNECTION, retry_elsewhere=True)
@@ -97,10 +97,10 @@
 @on_loop
 async def test_request_let_in_again_crashes_one_upstream_at_most():
     world = RelayHarness(peers=2, most_upstreams=2)
-    probe = world.ask("/a/x")
+    probe = world.send_request("/a/x")
     quarantine(world, probe.fingerprint)
     world.clock.advance(301)
-    exchange = world.ask("/a/x", request_id="r2")
+    exchange = world.send_request("/a/x", request_id="r2")
     ran = len(world.runs)
     link, place = next(
         (link, place)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -22,7 +22,7 @@
 @on_loop
 async def test_an_answer_comes_back_as_it_was_given():
     world = RelayHarness(peers=1)
-    exchange = world.ask()
+    exchange = world.send_request()
     [link] = world.links
     run, _ = link.runs[0]
     assert b"Rattanfork-Caller: s\r\n" in run.block
@@ -34,8 +34,8 @@
 @on_loop
 async def test_without_a_route_the_answer_is_404_and_without_instances_503():
     world = RelayHarness()
-    assert world.ask("/none/").output[0] == 404
-    status, block, _ = world.ask().output
+    assert world.send_request("/none/").output[0] == 404
+    status, block, _ = world.send_request().output
     assert status == 503
     assert b"Retry-After: " in block
 
@@ -49,7 +49,7 @@
     """
     world = RelayHarness(peers=2, idempotent=False)
     world.pool.verdicts = [FenceVerdict.HANDED_OVER]
-    exchange = world.ask()
+    exchange = world.send_request()
     [(link, place)] = world.runs
     link.lose(place)
     await settle()
@@ -65,7 +65,7 @@
     """
     world = RelayHarness(peers=2, idempotent=False)
     world.pool.verdicts = [FenceVerdict.NOT_RUN]
-    exchange = world.ask()
+    exchange = world.send_request()
     [(link, place)] = world.runs
     link.lose(place)
     await settle()
@@ -78,7 +78,7 @@
 @on_loop
 async def test_an_upstreams_own_failure_is_tried_elsewhere_and_else_handed_on():
     world = RelayHarness(peers=2, most_upstreams=2)
-    exchange = world.ask()
+    exchange = world.send_request()
     [(first, place)] = world.runs
     failed = Reason.UPSTREAM_FAILED
     first.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
@@ -100,7 +100,7 @@
     slow = world.links[0]
     sent = {link.peer: 0 for link in world.links}
     for number in range(40):
-        exchange = world.ask(request_id=f"r{number}")
+        exchange = world.send_request(request_id=f"r{number}")
         [(link, place)] = [r for r in world.runs if r[1] == sent[r[0].peer]]
         sent[link.peer] += 1
         if link is slow:
@@ -114,7 +114,7 @@
 @on_loop
 async def test_the_time_of_a_route_ends_a_request_and_its_run():
     world = RelayHarness(peers=1, timeout=0.03)
-    exchange = world.ask()
+    exchange = world.send_request()
     await asyncio.sleep(0.05)
     assert exchange.output[0] == 504
     assert [type(m) for m in world.links[0].sent] == [Cancel]
@@ -125,7 +125,7 @@
 @on_loop
 async def test_a_caller_that_leaves_ends_its_run():
     world = RelayHarness(peers=1)
-    exchange = world.ask()
+    exchange = world.send_request()
     exchange.on_gone()
     assert [type(m) for m in world.links[0].sent] == [Cancel]
 
@@ -138,13 +138,13 @@
     of a run at our own upstream has the rank of that run and still passes.
     """
     world = RelayHarness(peers=1)
-    world.ask()
+    world.send_request()
     world.links[0].reply(0, ANSWERED, status=200, cut=2.0)
-    exchange = world.ask(request_id="r2")
+    exchange = world.send_request(request_id="r2")
     assert exchange.output[0] == 503
     assert b"Retry-After" in exchange.output[1]
     world.gate_world.submit("run", rank=2.5)
-    assert world.ask("/a/x", request_id="run.0123456789abcdef").output is None
+    assert world.send_request("/a/x", request_id="run.0123456789abcdef").output is None
 
 
 @on_loop
@@ -156,14 +156,14 @@
     was done, so it is refused at once; one of higher importance is not.
     """
     world = RelayHarness(peers=1)
-    world.ask()
+    world.send_request()
     world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
     world.reports.report("deep", 1.5, impaired=False)
-    exchange = world.ask(request_id="r2")
+    exchange = world.send_request(request_id="r2")
     assert exchange.output[0] == 503
     assert world.log.lines[-1]["chain"] == {"t": 5.0, "deep": 1.5}
     world.clock.advance(9.0)
-    assert world.ask(request_id="r3").output is None
+    assert world.send_request(request_id="r3").output is None
 
 
 @on_loop
@@ -174,7 +174,7 @@
     told.report("t", 1.0, impaired=False)
     world.reports.hear(told.news())
     for number in range(10):
-        world.ask(request_id=f"r{number}")
+        world.send_request(request_id=f"r{number}")
     assert not world.links[0].runs
 
 
@@ -183,7 +183,7 @@
     """An upstream calls a service, whose answer tells of one further down."""
     world = RelayHarness(peers=1)
     run, results = world.gate_world.submit("run")
-    world.ask("/i/x", request_id="run.0123456789abcdef")
+    world.send_request("/i/x", request_id="run.0123456789abcdef")
     world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
     world.gate_world.answer(0)
     assert results[0].reach == ("deep", "t")
@@ -193,7 +193,7 @@
 async def test_a_run_that_broke_off_teaches_nothing_of_its_chain():
     world = RelayHarness(peers=1)
     run, results = world.gate_world.submit("run")
-    world.ask("/i/x", request_id="run.0123456789abcdef")
+    world.send_request("/i/x", request_id="run.0123456789abcdef")
     world.links[0].reply(0, ANSWERED, status=200)
     world.gate_world.answer(0, status=500)
     assert results[0].reach == ()
@@ -206,7 +206,7 @@
     The caller gets the upstream's own failure, and no third gate is asked.
     """
     world = RelayHarness(peers=4, most_upstreams=2)
-    exchange = world.ask()
+    exchange = world.send_request()
     [(first, place)] = world.runs
     failed = Reason.UPSTREAM_FAILED
     first.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
@@ -228,7 +228,7 @@
     """
     world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run", deadline=world.clock.now() + 0.3)
-    exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
+    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
     run, _ = world.links[0].runs[0]
     assert run.time_left <= 300
     world.gate.cancel(job)
@@ -245,7 +245,7 @@
     """
     world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run", idempotent=False)
-    exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
+    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
     world.gate.cancel(job)
     assert world.links[0].sent == []
     assert not exchange.answered
@@ -261,7 +261,7 @@
     """
     world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("run")
-    exchange = world.ask("/i/x", request_id="run.0123456789abcdef")
+    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
     world.gate.leave()
     world.gate.cancel(job)
     assert world.gate_world.pool.connections[0].aborted
@@ -280,11 +280,11 @@
     world = RelayHarness(peers=1, timeout=1.0)
     end = world.clock.now() + 1.5
     world.relay.drain(DrainPolicy(world.clock, end, 0.0))
-    assert world.ask(request_id="r1").output is None
+    assert world.send_request(request_id="r1").output is None
     world.clock.advance(0.6)
-    assert world.ask(request_id="r2").output[0] == 503
+    assert world.send_request(request_id="r2").output[0] == 503
     world.gate_world.submit("run", deadline=world.clock.now() + 0.5)
-    assert world.ask("/i/x", request_id="run.0123456789abcdef").output is None
+    assert world.send_request("/i/x", request_id="run.0123456789abcdef").output is None
 
 
 @on_loop
@@ -299,12 +299,12 @@
     world.relay.directory.picker("t").subset[0].latency = 0.05
     now = world.clock.now()
     world.relay.drain(DrainPolicy(world.clock, now + 4.0, now + 2.0))
-    assert world.ask(request_id="r1").output is None
+    assert world.send_request(request_id="r1").output is None
     world.relay.directory.picker("t").subset[0].latency = 1.5
-    assert world.ask(request_id="r2").output[0] == 503
+    assert world.send_request(request_id="r2").output[0] == 503
     world.relay.directory.picker("t").subset[0].latency = 0.05
     world.clock.advance(2.1)
-    assert world.ask(request_id="r3").output[0] == 503
+    assert world.send_request(request_id="r3").output[0] == 503
 
 
 @on_loop
@@ -316,7 +316,7 @@
     world = RelayHarness(peers=2, idempotent=False)
     del world.pool.links["p0@b"]
     for _ in range(20):
-        world.ask()
+        world.send_request()
         await settle()
     assert len(world.pool.links["p1@b"].runs) == 20
 
@@ -338,7 +338,7 @@
     then: {importance: high}
 """
     )
-    status, block, _ = world.ask().output
+    status, block, _ = world.send_request().output
     assert status == 503
     assert b"Retry-After: 7.00" in block
     assert world.runs == []
@@ -355,7 +355,7 @@
     then: {importance: critical, deadline: 0.5, attempts: 0, idempotent: false}
 """
     )
-    exchange = world.ask()
+    exchange = world.send_request()
     [(link, place)] = world.runs
     run = link.runs[place][0]
     assert run.rank < 1
@@ -372,8 +372,8 @@
     world = RelayHarness(peers=1)
     world.gate_world.submit("run")
     world.accept_rules("rules: [{name: all, then: {refuse: {retry_after: 1}}}]")
-    assert world.ask(request_id="r1").output[0] == 503
-    assert world.ask("/i/x", request_id="run.0123456789abcdef").output is None
+    assert world.send_request(request_id="r1").output[0] == 503
+    assert world.send_request("/i/x", request_id="run.0123456789abcdef").output is None
 
 
 @on_loop
@@ -384,7 +384,7 @@
     """
     world = RelayHarness(peers=1)
     world.relay._rules = type(world.rules)()
-    assert world.ask().output[0] == 503
+    assert world.send_request().output[0] == 503
 
 
 @on_loop
@@ -395,7 +395,7 @@
     """
     world = RelayHarness(peers=2)
     world.accept_rules("rules: [{name: home, then: {data_centre: dc2}}]")
-    exchange = world.ask()
+    exchange = world.send_request()
     assert world.runs == []
     assert exchange.output[0] == 503
 
@@ -411,7 +411,7 @@
     gc.collect()
     gc.disable()
     try:
-        world.ask()
+        world.send_request()
         world.links[0].reply(0, ANSWERED, status=200)
         world.links[0].runs.clear()
         await settle()
@@ -430,7 +430,7 @@
     not try it again.
     """
     world = RelayHarness(peers=2, idempotent=False, timeout=1.0)
-    exchange = world.ask()
+    exchange = world.send_request()
     [(link, place)] = world.runs
     for state in world.relay.directory.picker("t").subset:
         state.latency = 0.1
@@ -446,7 +446,7 @@
     world = RelayHarness(peers=1)
     job, _ = world.gate_world.submit("r1", rank=2.55)
     for number in range(3):
-        world.ask("/i/x", request_id=f"r1.{number}")
+        world.send_request("/i/x", request_id=f"r1.{number}")
         world.links[0].reply(number, ANSWERED, status=200)
     ranks = [run.rank for run, _ in world.links[0].runs]
     assert ranks == sorted(ranks, reverse=True)
--- a/packages/rattanfork-node/rattanfork_node/relay/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/upstream.py
@@ -1,10 +1,10 @@
-"""The upstream beside a node, as it announced itself."""
+"""The upstream instance that a node fronts, as announced to it."""
 
 from typing import NamedTuple
 
 
 class Upstream(NamedTuple):
-    """An upstream incarnation as it announced itself.
+    """An incarnation of an upstream, as it announced itself to its node.
 
     Parameters
     ==========
@@ -12,13 +12,13 @@
     name : str
         ID of the incarnation.
     host : str
-        Its address.
+        Its host address.
     port : int
-        Its port.
+        Its TCP port.
     slots : int
-        Requests that it runs at once.
+        Requests that it can run concurrently.
     born : int
-        When it started, in Unix milliseconds of its own clock; 0 while unsaid.
+        Its start time, in Unix milliseconds of its own clock; 0 while unknown.
     """
 
     name: str
@@ -28,7 +28,7 @@
     born: int = 0
 
     def is_same_incarnation(self, known: "Upstream") -> bool:
-        """Return whether this is the incarnation that is known already."""
+        """Return whether this and a known announcement are of one incarnation."""
         if self.name != known.name:
             return False
         return not self.born or not known.born or self.born == known.born
