--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -8,8 +8,8 @@
 from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
-from rattanfork_core.hints import HintTable
-from rattanfork_core.membership import HeldVersions, Member, Membership, MemberStatus
+from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.membership import CachedVersions, Member, Membership, MemberStatus
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.settings import NodeSettings
 from rattanfork_platform.http import HttpPlatform
@@ -102,7 +102,9 @@
             ready=False,
         )
         self._membership = Membership(self._clock, self._random, me)
-        self._membership.held = lambda: HeldVersions(rules=self._rules.order)
+        self._membership.cached_versions = lambda: CachedVersions(
+            rules=self._rules.order
+        )
         self._guard = Guard(
             self._clock,
             settings.instance,
@@ -154,7 +156,7 @@
             settings.rules,
             self._counters,
             lambda: self._member.newest_rules,
-            self._membership.hasten,
+            self._membership.schedule_push,
         )
         self._metrics = Metrics(
             settings.instance,
@@ -180,7 +182,7 @@
 
     def _make_edge(self) -> None:
         settings = self._settings
-        hints = HintTable(self._clock)
+        hints = ThresholdCache(self._clock)
         directory = InstanceDirectory(self._clock, self._random, self._membership)
         epochs = EpochBook(self._clock)
         dispatcher = Dispatcher(
@@ -308,7 +310,7 @@
             self.drain()
             return
         self._announced = self._clock.now()
-        self._guard.admission.limit.announce(announcement.slots)
+        self._guard.admission.limit.set_slots(announcement.slots)
         if self._upstream_url != announcement.url or self._upstream is None:
             self._replace_upstream(announcement)
         if me.slots != announcement.slots or not me.ready:
@@ -320,7 +322,7 @@
             announcement.url, announcement.connections, self._settings.limits.body
         )
         self._guard.attach(self._upstream)
-        self._guard.admission.limit.restart()
+        self._guard.admission.limit.restart_warmup()
         log_change("upstream_announced", url=announcement.url)
         if old is not None:
             # Requests under way on the old connections still finish.
@@ -351,7 +353,7 @@
             "admission.running": admission.running,
             "admission.waiting": admission.waiting,
             "admission.limit": admission.limit.current,
-            "admission.cut": admission.cut,
+            "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
             "edge.in_flight": self._edge.in_flight,
             "keys.remembered": self._guard.ledger.remembered,
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -8,7 +8,7 @@
 
 from rattanfork_core.account import RepeatGrants
 from rattanfork_core.clock import BootClock, MonotonicClock
-from rattanfork_core.hints import GateReports
+from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import (
     Member,
     Membership,
@@ -180,9 +180,9 @@
             self._clock,
             self._random,
             me,
-            MembershipSettings(pushes=_PUSHES, push_interval=_TICK),
+            MembershipSettings(push_fanout=_PUSHES, push_interval=_TICK),
         )
-        self._reports = GateReports(self._clock, me.name)
+        self._reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
         self._membership.on_status = self._on_member
         self._lease = ConfigurationLease(BootClock())
@@ -405,8 +405,8 @@
     def _on_configuration(self, configuration: Configuration) -> None:
         self._observer.on_configuration()
         self._callers.limits = RequestLimits(
-            configuration.head_bytes,
-            configuration.body_bytes,
+            configuration.max_head_bytes,
+            configuration.max_body_bytes,
             configuration.head_timeout,
             configuration.idle_timeout,
         )
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
@@ -5,7 +5,7 @@
 
 from rattanfork_core.account import Account
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.request import (
     CallResult,
@@ -14,7 +14,7 @@
     Importance,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
     SendFence,
@@ -71,7 +71,7 @@
         Connections to other nodes.
     guard : Guard
         This node's own guard.
-    hints : HintTable
+    hints : ThresholdCache
         Where thresholds heard on replies are kept.
     epochs : EpochBook
         Where the guards' epochs of keys are kept.
@@ -84,7 +84,7 @@
         directory: InstanceDirectory,
         pool: PeerPool,
         guard: Guard,
-        hints: HintTable,
+        hints: ThresholdCache,
         epochs: EpochBook,
     ) -> None:
         self._clock = clock
@@ -95,7 +95,7 @@
         self._hints = hints
         self._epochs = epochs
 
-    async def run(self, job: Job, machine: RequestMachine) -> CallResult:
+    async def run(self, job: Job, machine: RequestStateMachine) -> CallResult:
         """Bring a request to its final answer."""
         sent: dict[int, _Sent] = {}
         commands = machine.start()
@@ -109,7 +109,7 @@
         except TimeoutError:
             return self._give_up(machine.on_deadline(), sent)
         except asyncio.CancelledError:
-            self._give_up(machine.on_caller_left(), sent)
+            self._give_up(machine.on_caller_disconnected(), sent)
             raise
 
     async def fence_key(self, member: Member | None, key: str) -> FenceVerdict:
@@ -127,13 +127,13 @@
     async def _step(
         self,
         job: Job,
-        machine: RequestMachine,
+        machine: RequestStateMachine,
         command: Command,
         sent: dict[int, _Sent],
     ) -> list[Command]:
         if isinstance(command, SendFence):
             verdict = await self._fence(job, command, sent.get(command.attempt))
-            return machine.on_fence(command.attempt, verdict)
+            return machine.on_fence_verdict(command.attempt, verdict)
         picker = self._directory.picker(job.incoming.service)
         state = picker.states.get(command.instance) if picker else None
         began = self._clock.now()
@@ -148,7 +148,7 @@
                 Reason.STALE_INSTANCE,
             )
         except LinkLostError:
-            return machine.on_link_lost(command.attempt)
+            return machine.on_connection_lost(command.attempt)
         finally:
             if state is not None:
                 state.on_done(self._clock.now(), began, failed)
@@ -171,7 +171,7 @@
         number = link.next_number()
         sent[command.attempt] = _Sent(link, number)
         reply = await link.ask(self._call(job, command, member, number))
-        self._hints.hear(job.hint_key, member.name, reply.cut)
+        self._hints.update(job.hint_key, member.name, reply.cut)
         self._epochs.hear(member.name, reply.epoch)
         return CallResult(
             Outcome(reply.outcome),
@@ -207,7 +207,9 @@
                 _always,
             )
         )
-        self._hints.hear(job.hint_key, member.name, self._guard.cut(incoming.operation))
+        self._hints.update(
+            job.hint_key, member.name, self._guard.cut(incoming.operation)
+        )
         return result
 
     def _call(self, job: Job, command: SendCall, member: Member, number: int) -> Call:
@@ -281,16 +283,16 @@
 
 
 def blocked_instances(
-    picker: InstancePicker, hints: HintTable, hint_key: str, rank: float
+    picker: InstancePicker, hints: ThresholdCache, hint_key: str, rank: float
 ) -> tuple[frozenset[str], float]:
     """Return the instances that would shed a rank, and the highest cut."""
     highest = 0.0
     blocked = []
     for state in picker.subset:
-        if state.failures > _MOSTLY_FAILING:
+        if state.failure_rate > _MOSTLY_FAILING:
             # What it last said of its threshold died with it.
             continue
-        cut = hints.cut(hint_key, state.name)
+        cut = hints.threshold(hint_key, state.name)
         highest = max(highest, cut)
         if rank >= cut:
             blocked.append(state.name)
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -8,7 +8,7 @@
 
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
 from rattanfork_core.clock import Clock
-from rattanfork_core.quota import Quota, Verdict
+from rattanfork_core.quota import Quota, QuotaDecision
 from rattanfork_core.request import Reason
 from rattanfork_core.revision import ConfigurationLease
 
@@ -160,7 +160,7 @@
     def refund_quota(self, exchange: Exchange) -> None:
         """Refund the quota of an accepted request that has not run and will not."""
         if exchange.granted_at is not None:
-            self._quota.give_back(exchange.account, exchange.granted_at)
+            self._quota.refund(exchange.account, exchange.granted_at)
             exchange.granted_at = None
 
     def recheck_waiting(self) -> None:
@@ -224,16 +224,16 @@
         exchange.account = account
         asked_at = self._clock.now()
 
-        def on_verdict(verdict: Verdict, retry_after: float) -> None:
+        def on_verdict(verdict: QuotaDecision, retry_after: float) -> None:
             now = self._clock.now()
             exchange.waited += now - asked_at
-            if verdict is Verdict.GRANTED:
+            if verdict is QuotaDecision.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
                     self.refund_quota(exchange)
                 else:
                     self.accept(exchange, route)
-            elif verdict is Verdict.EXHAUSTED:
+            elif verdict is QuotaDecision.EXHAUSTED:
                 self._log_over_quota(account.name, now)
                 refusal = Refusal(_QUOTA_STATUS, Reason.QUOTA, retry_after)
                 self.refuse(exchange, route, refusal)
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -13,7 +13,7 @@
     Finish,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
 )
@@ -128,12 +128,12 @@
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
         account = HopAccount(relay.clock, deadline, route.most_upstreams - 1)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             account,
             route.idempotent,
             self._pick_instance,
             may_retry=self._may_retry,
-            free_refusals=_MAX_REFUSED_ATTEMPTS,
+            free_retries=_MAX_REFUSED_ATTEMPTS,
         )
         wait = max(0.0, deadline - relay.clock.now())
         self._timer = relay.loop.call_later(wait, self._on_deadline)
@@ -145,7 +145,7 @@
 
     def on_caller_disconnected(self) -> None:
         """Cancel all work, as the caller no longer waits for the response."""
-        self._execute(self._machine.on_caller_left())
+        self._execute(self._machine.on_caller_disconnected())
 
     def _pick_instance(self, avoid: frozenset[str]) -> str | None:
         admitted = self._admitted
@@ -169,7 +169,7 @@
             # An attempt that is cut off by the timeout may have run, while now the
             # request is known not to have run.
             left = admitted.deadline - self._relay.clock.now()
-            return left > admitted.picker.best_latency
+            return left > admitted.picker.fastest_latency
         # The gate that receives the retry checks its retry budget.
         return self._retry_denials < _MAX_RETRY_DENIALS
 
@@ -310,9 +310,9 @@
             self._record_attempt(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
             self._arrived = True
-            self._execute(self._machine.on_link_lost(attempt))
+            self._execute(self._machine.on_connection_lost(attempt))
             return
-        self._relay.early_refusal.hear(self._admitted.operation, name, reply.cut)
+        self._relay.early_refusal.update(self._admitted.operation, name, reply.cut)
         if self._instance_state is not None:
             self._instance_state.busy = reply.busy
         result = CallResult(
@@ -347,7 +347,7 @@
     def _record_reach(self, result: CallResult) -> None:
         admitted = self._admitted
         if self._parent is None:
-            self._relay.reach.on_run(admitted.operation, result.reach)
+            self._relay.reach.record_run(admitted.operation, result.reach)
         else:
             self._parent.services_reached.add(admitted.service)
             self._parent.services_reached.update(result.reach)
@@ -361,7 +361,7 @@
             now = self._relay.clock.now()
             state.on_done(now, self._sent_at, failed, operation)
         else:
-            state.on_withdrawn(self._sent_at)
+            state.on_inconclusive(self._sent_at)
 
     def _record_attempt(self, reason: Reason, status: int = 0) -> None:
         """Record how an attempt ended, for the request log; only once per attempt."""
@@ -376,7 +376,7 @@
     def _send_cancel(self) -> None:
         self._record_attempt(Reason.CANCELLED)
         if self._instance_state is not None:
-            self._instance_state.on_withdrawn(self._sent_at)
+            self._instance_state.on_inconclusive(self._sent_at)
             self._instance_state = None
         if self._job is not None:
             self._relay.gate.cancel(self._job)
@@ -398,7 +398,7 @@
                         )
             except (LinkLostError, TimeoutError, ValueError):
                 self._relay.counters.events["relay.fence-unanswered"] += 1
-            self._execute(self._machine.on_fence(attempt, verdict))
+            self._execute(self._machine.on_fence_verdict(attempt, verdict))
 
         self._relay.spawn(fence())
 
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -11,7 +11,11 @@
     Waiter,
 )
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import ChainReach, HintTable, UpstreamHealth
+from rattanfork_core.gate_status import (
+    OperationDependencies,
+    ThresholdCache,
+    UpstreamHealth,
+)
 from rattanfork_core.quarantine import Quarantine, SuspectTracker
 from rattanfork_core.request import CallResult, Outcome, Reason
 
@@ -123,18 +127,18 @@
                 slots=1,
                 warmup=0.0,
                 adaptive=False,
-                queue_share=_QUEUE_SHARE,
-                queue_seconds=_QUEUE_S,
+                queue_ratio=_QUEUE_SHARE,
+                queue_delay=_QUEUE_S,
                 surge_sample=_SURGE_SAMPLE_ARRIVALS,
-                longest_wait=_MAX_WAIT_S,
+                max_wait=_MAX_WAIT_S,
             ),
         )
         #: Admission thresholds announced by the services that the upstream calls.
-        self._downstream_thresholds = HintTable(clock)
+        self._downstream_thresholds = ThresholdCache(clock)
         #: Detects an upstream that fails or has become slow.
         self.health = UpstreamHealth(clock)
         #: Services behind each operation, learned from the calls of its runs.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
         self._next_key = 0
@@ -167,7 +171,7 @@
     @property
     def own_threshold(self) -> float:
         """Admission threshold of this gate, without those of downstream services."""
-        return self._admission.cut
+        return self._admission.threshold
 
     @property
     def outstanding(self) -> int:
@@ -197,7 +201,7 @@
         elif not upstream.born:
             upstream = upstream._replace(born=known.born)
         self._upstream = upstream
-        self._admission.limit.announce(max(1, int(upstream.slots * _SLOT_UTILIZATION)))
+        self._admission.limit.set_slots(max(1, int(upstream.slots * _SLOT_UTILIZATION)))
         self._accepting = True
         self.misdirected = False
 
@@ -220,8 +224,8 @@
     def threshold(self, operation: str) -> float:
         """Return the lower of the gate's and the downstream admission threshold."""
         return min(
-            self._admission.cut,
-            self._downstream_thresholds.cut(operation, _OWN_UPSTREAM),
+            self._admission.threshold,
+            self._downstream_thresholds.threshold(operation, _OWN_UPSTREAM),
         )
 
     def submit(self, job: Job) -> None:
@@ -310,7 +314,7 @@
             self._pool.retire()
         self._pool = self._make_pool(upstream, connections)
         self._crash_detector.watch(self._pool, upstream)
-        self._admission.restart()
+        self._admission.reset_estimates()
         self.health = UpstreamHealth(self._clock)
 
     def _make_pool(self, upstream: Upstream, connections: int) -> UpstreamPool:
@@ -415,7 +419,7 @@
         if succeeded:
             self._record_reach(job, result)
         if job.lowest_called_threshold != float("inf"):
-            self._downstream_thresholds.hear(
+            self._downstream_thresholds.update(
                 job.operation, _OWN_UPSTREAM, job.lowest_called_threshold
             )
         self._finish(job, result)
@@ -426,7 +430,7 @@
             fingerprint = job.fingerprint
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
-            self.reach.on_run(job.operation, job.services_reached)
+            self.reach.record_run(job.operation, job.services_reached)
         result.reach = self.reach.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import (
-    ChainReach,
-    ChainThresholds,
-    EarlyRefusal,
-    GateReports,
-    HintTable,
+from rattanfork_core.gate_status import (
+    CallChainThresholds,
+    EarlyShedder,
+    GateReportTable,
+    OperationDependencies,
+    ThresholdCache,
 )
 from rattanfork_core.membership import Membership
 from rattanfork_core.quarantine import Quarantine
@@ -21,8 +21,8 @@
     CallResult,
     Outcome,
     Reason,
+    jittered_retry_after,
     rank_of_call,
-    spread_retry_after,
 )
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.routes import Route
@@ -100,7 +100,7 @@
         Counts requests and events.
     decision_log : Journal
         Records the decisions on each request.
-    reports : GateReports
+    reports : GateReportTable
         Thresholds and health that the gates of all nodes have reported.
     quarantine : Quarantine
         Fingerprints of requests that no upstream may run.
@@ -122,7 +122,7 @@
         gate: Gate,
         counters: Counters,
         decision_log: DecisionLog,
-        reports: GateReports,
+        reports: GateReportTable,
         quarantine: Quarantine,
         accounts: ClientAccounts,
     ) -> None:
@@ -133,11 +133,11 @@
         self.gate = gate
         self.counters = counters
         self.quarantine = quarantine
-        self.early_refusal = EarlyRefusal(clock)
+        self.early_refusal = EarlyShedder(clock)
         #: Services behind each operation, learned from the responses to callers.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._reports = reports
-        self._chain_thresholds = ChainThresholds(
+        self._chain_thresholds = CallChainThresholds(
             reports, self.reach, directory.instance_count
         )
         self.own_name = membership.me.name
@@ -227,7 +227,7 @@
                 )
                 return
             if decision.data_centre is not None:
-                outside = picker.outside(decision.data_centre)
+                outside = picker.instances_outside(decision.data_centre)
         if self._drain_policy is not None and not self._drain_policy.accepts(
             route, picker
         ):
@@ -239,7 +239,7 @@
         rank = rank_of_request(exchange, route, rule_sets_importance)
         operation = self.operation(route, service)
         blocked = None
-        if rank < self._chain_thresholds.cut(operation, service):
+        if rank < self._chain_thresholds.threshold(operation, service):
             blocked = self._shedding_instances(picker, route, service, rank)
         if blocked is None:
             self._refusals.refuse(
@@ -248,8 +248,8 @@
                 self._spread_retry_after(rank),
                 route=route.name,
                 rank=round(rank, 3),
-                thresholds=self.early_refusal.told(picker, operation),
-                chain=self._chain_thresholds.told(operation, service),
+                thresholds=self.early_refusal.thresholds(picker, operation),
+                chain=self._chain_thresholds.thresholds_by_service(operation, service),
             )
             return
         self._forward(
@@ -260,14 +260,16 @@
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
         """Return the instances that would shed a rank; None if all have said so."""
-        blocked = self.early_refusal.blocked(
+        blocked = self.early_refusal.shedding_instances(
             picker, self.operation(route, service), rank
         )
         if blocked is None or not len(self._reports):
             return blocked
         shedding = set()
         for state in picker.subset:
-            threshold, state.impaired_until = self._reports.about(service, state.name)
+            threshold, state.impaired_until = self._reports.gate_state(
+                service, state.name
+            )
             if threshold <= rank:
                 shedding.add(state.name)
         # Reports may be outdated: if all instances shed, any gate may still be asked.
@@ -286,14 +288,14 @@
         key = (route.name, service)
         name = self._operations.get(key)
         if name is None:
-            if len(self._operations) > 4 * HintTable.MOST_HINTS:
+            if len(self._operations) > 4 * ThresholdCache.MAX_ENTRIES:
                 self._operations.clear()
             name = self._operations[key] = f"{route.name}/{service}"
         return name
 
     def mark_dead(self, name: str) -> None:
         """Record that another process answers at a member's address."""
-        self._membership.bury(name)
+        self._membership.mark_dead(name)
 
     def count_unreachable(self, name: str) -> None:
         """Count a failed connection to a member."""
@@ -388,7 +390,7 @@
             service,
             exchange.method.decode("latin-1"),
             exchange.account_name or self._settings.service,
-            self.early_refusal.pressure(picker, self.operation(route, service)),
+            self.early_refusal.shed_share(picker, self.operation(route, service)),
         )
 
     def _report_to_parent(
@@ -396,7 +398,7 @@
     ) -> None:
         operation, picker = admitted.operation, admitted.picker
         own_threshold = self.gate.threshold(operation)
-        threshold = self.early_refusal.highest(
+        threshold = self.early_refusal.highest_threshold(
             picker, operation, self.own_name, own_threshold
         )
         if threshold is not None:
@@ -409,7 +411,7 @@
             parent.succeeded_calls += 1
 
     def _spread_retry_after(self, rank: float) -> float:
-        return spread_retry_after(self._settings.retry_after, rank, self._random)
+        return jittered_retry_after(self._settings.retry_after, rank, self._random)
 
 
 def _status_without_answer(outcome: Outcome, reason: Reason) -> int:
--- a/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from rattanfork_core.request import request_fate
-from rattanfork_core.request.importance import RANKS
-from rattanfork_core.routes import importance_of
+from rattanfork_core.request import request_tiebreak
+from rattanfork_core.request.importance import RANK_LIMIT
+from rattanfork_core.routes import importance_of_priority
 
 if TYPE_CHECKING:
     from rattanfork_core.routes import Route
@@ -32,10 +32,10 @@
     rule_sets_importance : bool
         Whether a rule sets the importance, which then overrides the account's.
     """
-    level = importance_of(route.priority)
-    rank = level + request_fate(exchange.request_id.decode("latin-1"))
+    level = importance_of_priority(route.priority)
+    rank = level + request_tiebreak(exchange.request_id.decode("latin-1"))
     account = exchange.account
     if rule_sets_importance or account is None or account.priority is None:
         return rank
     # The route's priority orders the requests of accounts with equal priority.
-    return importance_of(account.priority) + rank / RANKS
+    return importance_of_priority(account.priority) + rank / RANK_LIMIT
