--- a/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -48,5 +48,5 @@
         left = self._ends_at - now
         if route.timeout <= left:
             return True
-        usual = picker.slowest_latency
-        return now <= self._serves_until and 0.0 < _LATENCY_FACTOR * usual <= left
+        slowest = picker.slowest_latency
+        return now <= self._serves_until and 0.0 < _LATENCY_FACTOR * slowest <= left
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -312,7 +312,7 @@
             self._arrived = True
             self._execute(self._machine.on_connection_lost(attempt))
             return
-        self._relay.early_refusal.update(self._admitted.operation, name, reply.cut)
+        self._relay.early_shedder.update(self._admitted.operation, name, reply.cut)
         if self._instance_state is not None:
             self._instance_state.busy = reply.busy
         result = CallResult(
@@ -337,17 +337,17 @@
         self._retry_denials += result.reason is Reason.NO_REPEAT
         self._lost_runs += result.reason is Reason.CONNECTION
         if 200 <= result.status < 300:
-            self._record_reach(result)
+            self._record_dependencies(result)
         if result.reason is Reason.UPSTREAM_FAILED and result.retry_elsewhere:
             # Another instance may succeed; without a retry the caller gets the
             # upstream's own response.
             result.outcome = Outcome.UNKNOWN
         self._execute(self._machine.on_result(attempt, result))
 
-    def _record_reach(self, result: CallResult) -> None:
+    def _record_dependencies(self, result: CallResult) -> None:
         admitted = self._admitted
         if self._parent is None:
-            self._relay.reach.record_run(admitted.operation, result.reach)
+            self._relay.dependencies.record_run(admitted.operation, result.reach)
         else:
             self._parent.services_reached.add(admitted.service)
             self._parent.services_reached.update(result.reach)
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -138,7 +138,7 @@
         #: Detects an upstream that fails or has become slow.
         self.health = UpstreamHealth(clock)
         #: Services behind each operation, learned from the calls of its runs.
-        self.reach = OperationDependencies()
+        self.dependencies = OperationDependencies()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
         self._next_key = 0
@@ -417,7 +417,7 @@
                 job.waiter.key, failed, counts=result.reason is not Reason.CANCELLED
             )
         if succeeded:
-            self._record_reach(job, result)
+            self._record_dependencies(job, result)
         if job.lowest_called_threshold != float("inf"):
             self._downstream_thresholds.update(
                 job.operation, _OWN_UPSTREAM, job.lowest_called_threshold
@@ -425,13 +425,13 @@
         self._finish(job, result)
         self._apply_decisions(self._admission.finish(job.waiter.key, succeeded))
 
-    def _record_reach(self, job: Job, result: CallResult) -> None:
+    def _record_dependencies(self, job: Job, result: CallResult) -> None:
         if result.status < 300:
             fingerprint = job.fingerprint
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
-            self.reach.record_run(job.operation, job.services_reached)
-        result.reach = self.reach.services(job.operation)
+            self.dependencies.record_run(job.operation, job.services_reached)
+        result.reach = self.dependencies.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
         self._counters.events[f"gate.{reason.label}"] += 1
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -133,12 +133,12 @@
         self.gate = gate
         self.counters = counters
         self.quarantine = quarantine
-        self.early_refusal = EarlyShedder(clock)
+        self.early_shedder = EarlyShedder(clock)
         #: Services behind each operation, learned from the responses to callers.
-        self.reach = OperationDependencies()
+        self.dependencies = OperationDependencies()
         self._reports = reports
         self._chain_thresholds = CallChainThresholds(
-            reports, self.reach, directory.instance_count
+            reports, self.dependencies, directory.instance_count
         )
         self.own_name = membership.me.name
         self._decision_log = decision_log
@@ -245,10 +245,10 @@
             self._refusals.refuse(
                 exchange,
                 Reason.SHED_EARLY,
-                self._spread_retry_after(rank),
+                self._jittered_retry_after(rank),
                 route=route.name,
                 rank=round(rank, 3),
-                thresholds=self.early_refusal.thresholds(picker, operation),
+                thresholds=self.early_shedder.thresholds(picker, operation),
                 chain=self._chain_thresholds.thresholds_by_service(operation, service),
             )
             return
@@ -260,7 +260,7 @@
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
         """Return the instances that would shed a rank; None if all have said so."""
-        blocked = self.early_refusal.shedding_instances(
+        blocked = self.early_shedder.shedding_instances(
             picker, self.operation(route, service), rank
         )
         if blocked is None or not len(self._reports):
@@ -327,7 +327,7 @@
         if result.status:
             exchange.answer(status, result.block, result.body)
         elif outcome is Outcome.NOT_RUN:
-            retry_after = self._spread_retry_after(admitted.rank)
+            retry_after = self._jittered_retry_after(admitted.rank)
             if reason is Reason.QUARANTINED:
                 retry_after = self.quarantine.seconds_left(exchange.fingerprint)
             self._refusals.answer_not_run(exchange, reason, retry_after)
@@ -390,7 +390,7 @@
             service,
             exchange.method.decode("latin-1"),
             exchange.account_name or self._settings.service,
-            self.early_refusal.shed_share(picker, self.operation(route, service)),
+            self.early_shedder.shed_share(picker, self.operation(route, service)),
         )
 
     def _report_to_parent(
@@ -398,7 +398,7 @@
     ) -> None:
         operation, picker = admitted.operation, admitted.picker
         own_threshold = self.gate.threshold(operation)
-        threshold = self.early_refusal.highest_threshold(
+        threshold = self.early_shedder.highest_threshold(
             picker, operation, self.own_name, own_threshold
         )
         if threshold is not None:
@@ -410,7 +410,7 @@
         else:
             parent.succeeded_calls += 1
 
-    def _spread_retry_after(self, rank: float) -> float:
+    def _jittered_retry_after(self, rank: float) -> float:
         return jittered_retry_after(self._settings.retry_after, rank, self._random)
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
@@ -20,7 +20,7 @@
     """Return the rank of a caller's request; higher ranks are shed first.
 
     The whole part is the importance level, the fraction a hash of the request ID
-    (its fate), so that all gates shed the same requests of one level.
+    only, so that all gates shed the same requests of one level.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the path of a request by routes."""
+"""Tests of the request path of a routing node."""
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A gate, a relay and an upstream without sockets."""
+"""Test harnesses for a gate and a relay, with fakes instead of sockets."""
 
 import asyncio
 from functools import wraps
@@ -43,7 +43,7 @@
 
 
 class FakeConnection:
-    """Keeps what was sent; the test answers."""
+    """A connection to an upstream; records the request, the test responds."""
 
     def __init__(self) -> None:
         self.sent = b""
@@ -58,14 +58,14 @@
 
 
 class FakeUpstreamPool:
-    """Hands out fake connections, or none."""
+    """Pool of fake connections; may be broken, or hold back connections."""
 
     def __init__(self) -> None:
         self.connections: list[FakeConnection] = []
         self.broken = False
         self.held: list = []
         self.holding = False
-        #: Connections that are open, and whether the upstream takes new ones.
+        #: Number of open connections, and whether the upstream accepts new ones.
         self.open = 1
         self.accepting = True
 
@@ -89,7 +89,7 @@
 
 
 class FakeLog(RequestLog):
-    """Keeps lines instead of writing them."""
+    """Keeps log lines instead of writing them."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.lines: list[dict] = []
@@ -97,12 +97,12 @@
         super().__init__(LineWriter(None), budget, "me", clock.now)
 
     def write(self, kind: str, request_id: bytes, fields: dict) -> None:
-        """Keep a line."""
+        """Keep a log line."""
         self.lines.append({"kind": kind, "id": request_id.decode(), **fields})
 
 
 class GateHarness:
-    """A gate with an upstream that the test speaks for."""
+    """A gate whose upstream is played by the test."""
 
     def __init__(self, slots: int = 1) -> None:
         self.clock = ManualClock(100.0)
@@ -153,7 +153,7 @@
 
 
 class FakeLink:
-    """A link to another node; the test is the node."""
+    """A link to a peer node that is played by the test."""
 
     connection = "c1"
 
@@ -176,8 +176,8 @@
     def forget(self, number) -> None:
         pass
 
-    def reply(self, place: int, outcome, reason=0, status=0, **more) -> None:
-        run, done = self.runs[place]
+    def reply(self, index: int, outcome, reason=0, status=0, **more) -> None:
+        run, done = self.runs[index]
         fields = {
             "retry_elsewhere": False,
             "cut": 5.0,
@@ -187,12 +187,12 @@
         }
         done(RunReply(run.number, outcome, reason, status, b"", b"body", **fields))
 
-    def lose(self, place: int) -> None:
-        self.runs[place][1](None)
+    def lose(self, index: int) -> None:
+        self.runs[index][1](None)
 
 
 class FakePeerPool:
-    """Links to other nodes by their names."""
+    """Fake links to peer nodes, by member name."""
 
     def __init__(self) -> None:
         self.links: dict[str, FakeLink] = {}
@@ -203,18 +203,18 @@
         return self.links.get(member.name)
 
     async def open(self, address) -> FakeLink:
-        raise LinkLostError("nobody listens")
+        raise LinkLostError("connection refused")
 
     async def fence_calls(self, member, connection, calls) -> list:
         self.fenced.append((member.name, connection, calls))
         verdict = self.verdicts.pop()
         if verdict is None:
-            raise LinkLostError("the guard does not answer")
+            raise LinkLostError("gate did not answer the fence")
         return [verdict]
 
 
 class FakeQuota(Quota):
-    """Says what the test wants, at once or when the test says so."""
+    """Decides as the test has set, at once or when the test calls back."""
 
     def __init__(self) -> None:
         self.verdict: QuotaDecision | None = QuotaDecision.GRANTED
@@ -238,14 +238,14 @@
 
 
 class FakeClientConnection:
-    """Takes the answers of an exchange."""
+    """Client connection that ignores flushes; tests read ``exchange.output``."""
 
     def flush_answers(self) -> None:
         pass
 
 
 class RelayHarness:
-    """A relay on node ``me`` of service ``s``, with peers and an upstream."""
+    """A relay on node ``me`` of service ``s``, with an upstream and peers of ``t``."""
 
     def __init__(
         self,
@@ -265,14 +265,14 @@
         me = Member("me", "b1", "s", "dc1", "127.0.0.1", 1, 1, 8, ready=True)
         membership = Membership(self.clock, Random(1), me)
         self.pool = FakePeerPool()
-        for place in range(peers):
-            peer = Member(f"p{place}", "b", "t", "dc1", "127.0.0.1", 2 + place, 2, 8)
+        for index in range(peers):
+            peer = Member(f"p{index}", "b", "t", "dc1", "127.0.0.1", 2 + index, 2, 8)
             membership.merge([peer])
             self.pool.links[peer.name] = FakeLink(peer.name)
-        self.gate_world = GateHarness(8)
-        self.gate = self.gate_world.gate
+        self.gate_harness = GateHarness(8)
+        self.gate = self.gate_harness.gate
         self.gate._clock = self.clock
-        self.quarantine = self.gate_world.quarantine = Quarantine(self.clock)
+        self.quarantine = self.gate_harness.quarantine = Quarantine(self.clock)
         self.gate._quarantine = self.quarantine
         self.version = 1
         self.holder = holder = ConfigurationHolder(
@@ -323,7 +323,7 @@
         )
 
     def change_accounts(self, accounts: dict[ClientAccount, list[str]] | None) -> None:
-        """Let another version of the configuration come into force."""
+        """Put a configuration with other accounts into force."""
         self.index = None if accounts is None else AccountIndex(accounts)
         self.version += 1
         self.holder.offer(b"-")
@@ -333,7 +333,7 @@
         self.confirmations_requested += 1
 
     def accept_rules(self, text: str) -> None:
-        """Let a document of rules be in force."""
+        """Put a document of rules into force."""
         revision = self.rules.revision + 1
         self.rules.receive_from_store(RulesRecord(revision, "op", "ann", "", text))
 
@@ -343,7 +343,7 @@
 
     @property
     def runs(self) -> list:
-        """All runs sent, with their links, in the order they were sent."""
+        """Link and index of each run that was sent, link by link."""
         return [(link, i) for link in self.links for i in range(len(link.runs))]
 
     def send_request(
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -1,4 +1,4 @@
-"""Requests with keys: who is let in, who is refused, and what upstreams are told."""
+"""Tests of API key authentication and of the quotas of client accounts."""
 
 import json
 
@@ -14,7 +14,7 @@
 ACCOUNTS = {CLERKS: ["key-of-clerks", "old-key"], AUDITORS: ["key-of-auditors"]}
 
 
-def world(**more) -> RelayHarness:
+def make_harness(**more) -> RelayHarness:
     return RelayHarness(peers=1, accounts=ACCOUNTS, **more)
 
 
@@ -22,256 +22,257 @@
     return exchange.output[0] if exchange.output else None
 
 
-def run_of(world: RelayHarness):
-    [(run, _)] = world.links[0].runs
+def run_of(harness: RelayHarness):
+    [(run, _)] = harness.links[0].runs
     return run
 
 
 @on_loop
-async def test_known_key_is_let_in_as_its_account():
-    each = world()
-    each.send_request(keys=[b"key-of-clerks"])
-    assert run_of(each).account == "clerks"
+async def test_known_key_is_accepted_as_its_account():
+    harness = make_harness()
+    harness.send_request(keys=[b"key-of-clerks"])
+    assert run_of(harness).account == "clerks"
 
 
 @on_loop
-async def test_without_accounts_no_key_is_asked_for():
-    each = RelayHarness(peers=1)
-    each.send_request()
-    assert run_of(each).account == ""
+async def test_no_key_is_required_without_accounts():
+    harness = RelayHarness(peers=1)
+    harness.send_request()
+    assert run_of(harness).account == ""
 
 
 @on_loop
 @pytest.mark.parametrize("keys", [(), (b"",), (b"key-of-clerks", b"key-of-clerks")])
 async def test_request_without_one_key_is_unauthenticated(keys):
-    each = world()
-    exchange = each.send_request(keys=keys)
-    each.accounts.tick()
+    harness = make_harness()
+    exchange = harness.send_request(keys=keys)
+    harness.accounts.tick()
     if len(keys) == 1:
-        each.clock.advance(0.1)
-        each.lease.confirm(each.clock.now())
-        each.accounts.recheck_waiting()
+        harness.clock.advance(0.1)
+        harness.lease.confirm(harness.clock.now())
+        harness.accounts.recheck_waiting()
     assert status_of(exchange) == 401
-    assert each.runs == []
+    assert harness.runs == []
 
 
 @on_loop
-async def test_anonymous_route_needs_no_key_and_takes_any():
-    each = world(anonymous=True)
-    each.send_request(request_id="r1")
-    each.send_request(request_id="r2", keys=[b"wrong"])
-    each.send_request(request_id="r3", keys=[b"key-of-clerks"])
-    runs = [run for run, _ in each.links[0].runs]
+async def test_anonymous_route_accepts_missing_and_unknown_keys():
+    harness = make_harness(anonymous=True)
+    harness.send_request(request_id="r1")
+    harness.send_request(request_id="r2", keys=[b"wrong"])
+    harness.send_request(request_id="r3", keys=[b"key-of-clerks"])
+    runs = [run for run, _ in harness.links[0].runs]
     assert [run.account for run in runs] == ["", "", "clerks"]
 
 
 @on_loop
 async def test_unknown_key_waits_for_a_newer_configuration():
-    """Guards against a final refusal of a key that was added a moment ago."""
-    each = world()
-    exchange = each.send_request(keys=[b"new-key"])
+    """Guards against a 401 for a key that was added a moment ago."""
+    harness = make_harness()
+    exchange = harness.send_request(keys=[b"new-key"])
     assert status_of(exchange) is None
-    assert each.confirmations_requested
-    each.clock.advance(0.3)
-    each.change_accounts({**ACCOUNTS, ClientAccount("new"): ["new-key"]})
-    assert run_of(each).account == "new"
+    assert harness.confirmations_requested
+    harness.clock.advance(0.3)
+    harness.change_accounts({**ACCOUNTS, ClientAccount("new"): ["new-key"]})
+    assert run_of(harness).account == "new"
 
 
 @on_loop
-async def test_unknown_key_is_refused_once_nothing_newer_is_proven():
-    each = world()
-    each.clock.advance(0.1)
-    exchange = each.send_request(keys=[b"wrong"])
-    each.clock.advance(0.3)
-    each.accounts.tick()
+async def test_unknown_key_is_refused_after_a_newer_confirmation():
+    harness = make_harness()
+    harness.clock.advance(0.1)
+    exchange = harness.send_request(keys=[b"wrong"])
+    harness.clock.advance(0.3)
+    harness.accounts.tick()
     assert status_of(exchange) is None
-    each.lease.confirm(each.clock.now())
-    each.accounts.recheck_waiting()
+    harness.lease.confirm(harness.clock.now())
+    harness.accounts.recheck_waiting()
     assert status_of(exchange) == 401
 
 
 @on_loop
-async def test_unknown_key_is_not_judged_without_a_recent_proof():
-    """Guards against 401 for a good key at a node that has lost its store."""
-    each = world()
-    each.clock.advance(4.0)
-    exchange = each.send_request(keys=[b"new-key"])
+async def test_unknown_key_gets_503_without_a_recent_confirmation():
+    """Guards against a 401 for a valid key at a node that can't reach its store."""
+    harness = make_harness()
+    harness.clock.advance(4.0)
+    exchange = harness.send_request(keys=[b"new-key"])
     for _ in range(15):
-        each.clock.advance(0.1)
-        each.accounts.tick()
+        harness.clock.advance(0.1)
+        harness.accounts.tick()
     status, block, _ = exchange.output
     assert status == 503
     assert b"Retry-After" in block
 
 
 @on_loop
-async def test_flood_of_wrong_keys_is_bounded():
-    """Guards against memory and store calls that grow with wrong keys."""
-    each = world()
+async def test_requests_waiting_with_unknown_keys_are_bounded():
+    """Guards against memory and store calls that grow with unknown keys."""
+    harness = make_harness()
     for number in range(1000):
-        each.send_request(request_id=f"r{number}", keys=[b"wrong"])
-    assert each.accounts.waiting == 256
+        harness.send_request(request_id=f"r{number}", keys=[b"wrong"])
+    assert harness.accounts.waiting == 256
 
 
 @on_loop
 @pytest.mark.parametrize(("age", "status"), [(4.4, None), (4.6, 503)])
-async def test_key_counts_only_while_the_proof_is_recent(age, status):
-    """Guards against a key that was taken away while the node was partitioned."""
-    each = world()
-    each.clock.advance(age)
-    exchange = each.send_request(keys=[b"key-of-clerks"])
+async def test_key_is_accepted_only_with_a_recent_confirmation(age, status):
+    """Guards against accepting a key that was revoked while partitioned."""
+    harness = make_harness()
+    harness.clock.advance(age)
+    exchange = harness.send_request(keys=[b"key-of-clerks"])
     assert status_of(exchange) == status
-    assert len(each.runs) == (status is None)
+    assert len(harness.runs) == (status is None)
 
 
 @on_loop
-async def test_key_counts_without_proof_where_only_reachable_nodes_are_bound():
-    each = world(revoke_within=None)
-    each.clock.advance(60.0)
-    each.send_request(keys=[b"key-of-clerks"])
-    assert len(each.runs) == 1
+async def test_key_is_accepted_without_confirmation_if_no_bound_is_set():
+    harness = make_harness(revoke_within=None)
+    harness.clock.advance(60.0)
+    harness.send_request(keys=[b"key-of-clerks"])
+    assert len(harness.runs) == 1
 
 
 @on_loop
-async def test_anonymous_route_goes_on_without_a_recent_proof():
-    each = world(anonymous=True)
-    each.clock.advance(60.0)
-    each.send_request()
-    each.send_request(request_id="r2", keys=[b"key-of-clerks"])
-    assert [run.account for run, _ in each.links[0].runs] == ["", ""]
+async def test_anonymous_route_is_served_without_a_recent_confirmation():
+    harness = make_harness(anonymous=True)
+    harness.clock.advance(60.0)
+    harness.send_request()
+    harness.send_request(request_id="r2", keys=[b"key-of-clerks"])
+    assert [run.account for run, _ in harness.links[0].runs] == ["", ""]
 
 
 @on_loop
-async def test_key_that_was_taken_away_is_unknown():
-    each = world()
-    each.change_accounts({CLERKS: ["key-of-clerks"]})
-    exchange = each.send_request(keys=[b"old-key"])
-    each.clock.advance(0.2)
-    each.lease.confirm(each.clock.now())
-    each.accounts.recheck_waiting()
+async def test_revoked_key_is_refused():
+    harness = make_harness()
+    harness.change_accounts({CLERKS: ["key-of-clerks"]})
+    exchange = harness.send_request(keys=[b"old-key"])
+    harness.clock.advance(0.2)
+    harness.lease.confirm(harness.clock.now())
+    harness.accounts.recheck_waiting()
     assert status_of(exchange) == 401
 
 
 @on_loop
-async def test_exhausted_quota_is_answered_429_with_when_to_come_back():
-    each = world()
-    each.quota.verdict, each.quota.retry_after = QuotaDecision.EXHAUSTED, 0.75
-    status, block, _ = each.send_request(keys=[b"key-of-clerks"]).output
+async def test_exhausted_quota_gets_429_with_retry_after():
+    harness = make_harness()
+    harness.quota.verdict, harness.quota.retry_after = QuotaDecision.EXHAUSTED, 0.75
+    status, block, _ = harness.send_request(keys=[b"key-of-clerks"]).output
     assert status == 429
     assert b"Retry-After: 0.75\r\n" in block
-    assert each.runs == []
+    assert harness.runs == []
 
 
 @on_loop
-async def test_unreachable_quota_is_answered_as_not_run():
-    each = world()
-    each.quota.verdict, each.quota.retry_after = QuotaDecision.UNREACHABLE, 0.5
-    assert status_of(each.send_request(keys=[b"key-of-clerks"])) == 503
+async def test_unreachable_quota_gets_503():
+    harness = make_harness()
+    harness.quota.verdict, harness.quota.retry_after = QuotaDecision.UNREACHABLE, 0.5
+    assert status_of(harness.send_request(keys=[b"key-of-clerks"])) == 503
 
 
 @on_loop
-async def test_time_spent_waiting_for_the_quota_shortens_the_request():
-    """Guards against a caller that waits longer than its route allows."""
-    each = world()
-    each.quota.verdict = None
-    each.send_request(keys=[b"key-of-clerks"], wait=0.8)
-    each.clock.advance(0.3)
-    [on_verdict] = each.quota.pending
+async def test_time_waiting_for_quota_counts_against_the_deadline():
+    """Guards against a request that takes longer than its route allows."""
+    harness = make_harness()
+    harness.quota.verdict = None
+    harness.send_request(keys=[b"key-of-clerks"], wait=0.8)
+    harness.clock.advance(0.3)
+    [on_verdict] = harness.quota.pending
     on_verdict(QuotaDecision.GRANTED, 0.0)
-    assert run_of(each).time_left <= 500
+    assert run_of(harness).time_left <= 500
 
 
 @on_loop
-async def test_quota_is_given_back_for_what_did_not_run():
-    each = world()
-    exchange = each.send_request(keys=[b"key-of-clerks"])
-    each.links[0].reply(0, int(Outcome.NOT_RUN), 1)
+async def test_quota_is_refunded_for_request_that_did_not_run():
+    harness = make_harness()
+    exchange = harness.send_request(keys=[b"key-of-clerks"])
+    harness.links[0].reply(0, int(Outcome.NOT_RUN), 1)
     assert status_of(exchange) == 503
-    assert each.quota.returned == ["clerks"]
+    assert harness.quota.returned == ["clerks"]
 
 
 @on_loop
-async def test_quota_is_not_given_back_for_what_ran():
-    each = world()
-    exchange = each.send_request(keys=[b"key-of-clerks"])
-    each.links[0].reply(0, int(Outcome.ANSWERED), status=200)
+async def test_quota_is_not_refunded_for_request_that_ran():
+    harness = make_harness()
+    exchange = harness.send_request(keys=[b"key-of-clerks"])
+    harness.links[0].reply(0, int(Outcome.ANSWERED), status=200)
     assert status_of(exchange) == 200
-    assert each.quota.returned == []
+    assert harness.quota.returned == []
 
 
 @on_loop
-async def test_quota_is_given_back_by_a_caller_that_has_left():
-    each = world()
-    each.quota.verdict = None
-    exchange = each.send_request(keys=[b"key-of-clerks"])
+async def test_quota_is_refunded_if_the_caller_disconnected():
+    harness = make_harness()
+    harness.quota.verdict = None
+    exchange = harness.send_request(keys=[b"key-of-clerks"])
     exchange.answered = True
-    [on_verdict] = each.quota.pending
+    [on_verdict] = harness.quota.pending
     on_verdict(QuotaDecision.GRANTED, 0.0)
-    assert each.runs == []
-    assert each.quota.returned == ["clerks"]
+    assert harness.runs == []
+    assert harness.quota.returned == ["clerks"]
 
 
 @on_loop
-async def test_priority_of_the_account_goes_before_that_of_the_route():
-    each = world(priority=2)
-    each.send_request(request_id="r1", keys=[b"key-of-clerks"])
-    each.send_request(request_id="r2", keys=[b"key-of-auditors"])
-    clerks, auditors = (run.rank for run, _ in each.links[0].runs)
+async def test_account_priority_overrides_route_priority():
+    harness = make_harness(priority=2)
+    harness.send_request(request_id="r1", keys=[b"key-of-clerks"])
+    harness.send_request(request_id="r2", keys=[b"key-of-auditors"])
+    clerks, auditors = (run.rank for run, _ in harness.links[0].runs)
     assert 0 <= auditors < 1 <= clerks < 2
 
 
 @on_loop
-async def test_route_orders_requests_of_accounts_with_one_priority():
+async def test_route_priority_orders_accounts_of_equal_priority():
     ranks = []
     for priority in (0, 2):
-        each = world(priority=priority)
-        each.send_request(keys=[b"key-of-clerks"])
-        ranks.append(run_of(each).rank)
+        harness = make_harness(priority=priority)
+        harness.send_request(keys=[b"key-of-clerks"])
+        ranks.append(run_of(harness).rank)
     assert ranks[0] < ranks[1]
 
 
 @on_loop
-async def test_rule_that_sets_the_importance_goes_before_the_account():
-    each = world()
-    each.accept_rules("rules: [{name: a, then: {importance: background}}]")
-    each.send_request(keys=[b"key-of-auditors"])
-    assert 4 <= run_of(each).rank < 5
+async def test_importance_set_by_a_rule_overrides_the_account():
+    harness = make_harness()
+    harness.accept_rules("rules: [{name: a, then: {importance: background}}]")
+    harness.send_request(keys=[b"key-of-auditors"])
+    assert 4 <= run_of(harness).rank < 5
 
 
 @on_loop
-async def test_rule_may_ask_for_the_account():
-    each = world()
-    each.accept_rules(
+async def test_rule_may_match_the_account():
+    harness = make_harness()
+    harness.accept_rules(
         "rules: [{name: a, when: {caller: clerks}, then: {refuse: {retry_after: 3}}}]"
     )
-    assert status_of(each.send_request(keys=[b"key-of-clerks"])) == 503
+    assert status_of(harness.send_request(keys=[b"key-of-clerks"])) == 503
     assert (
-        status_of(each.send_request(request_id="r2", keys=[b"key-of-auditors"])) is None
+        status_of(harness.send_request(request_id="r2", keys=[b"key-of-auditors"]))
+        is None
     )
 
 
 @on_loop
-async def test_quarantine_tells_accounts_apart_and_not_their_keys():
-    """Guards against one account blocking another, and a new key freeing itself."""
-    each = world()
+async def test_fingerprint_depends_on_the_account_but_not_the_key():
+    """One account must not block another, nor a second key evade the quarantine."""
+    harness = make_harness()
     ids = iter("abcdef")
-    first = each.send_request(request_id=next(ids), keys=[b"key-of-clerks"])
-    again = each.send_request(request_id=next(ids), keys=[b"old-key"])
-    other = each.send_request(request_id=next(ids), keys=[b"key-of-auditors"])
+    first = harness.send_request(request_id=next(ids), keys=[b"key-of-clerks"])
+    again = harness.send_request(request_id=next(ids), keys=[b"old-key"])
+    other = harness.send_request(request_id=next(ids), keys=[b"key-of-auditors"])
     assert first.fingerprint == again.fingerprint != other.fingerprint
 
 
 @on_loop
-async def test_no_line_holds_a_key():
-    each = world()
-    each.send_request(request_id="r1", keys=[b"key-of-clerks"])
-    each.quota.verdict = QuotaDecision.EXHAUSTED
-    each.send_request(request_id="r2", keys=[b"old-key"])
-    each.send_request(request_id="r3", keys=[b"a-wrong-key"])
-    each.clock.advance(0.1)
-    each.lease.confirm(each.clock.now())
-    each.accounts.recheck_waiting()
-    lines = json.dumps(each.log.lines)
-    assert len(each.log.lines) >= 2
+async def test_log_lines_contain_no_key():
+    harness = make_harness()
+    harness.send_request(request_id="r1", keys=[b"key-of-clerks"])
+    harness.quota.verdict = QuotaDecision.EXHAUSTED
+    harness.send_request(request_id="r2", keys=[b"old-key"])
+    harness.send_request(request_id="r3", keys=[b"a-wrong-key"])
+    harness.clock.advance(0.1)
+    harness.lease.confirm(harness.clock.now())
+    harness.accounts.recheck_waiting()
+    lines = json.dumps(harness.log.lines)
+    assert len(harness.log.lines) >= 2
     for key in ("key-of-clerks", "old-key", "a-wrong-key"):
         assert key not in lines
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_crash_detector.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""When a gate takes its upstream to have ended."""
+"""Tests of the detection of upstream crashes."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 from rattanfork_node.telemetry import Counters
 
 
-class World:
-    """A detector and the connections it looks at."""
+class CrashHarness:
+    """A detector, with the connections that it probes."""
 
     def __init__(self) -> None:
         self.crashes: list[frozenset[int]] = []
@@ -27,7 +27,7 @@
     def replace(self, name: str) -> None:
         self.detector.watch(self.pool, Upstream(name, "127.0.0.1", 1, 8))
 
-    async def lose(self, *fingerprints: int) -> None:
+    async def lose_connections(self, *fingerprints: int) -> None:
         for fingerprint in fingerprints:
             self.detector.on_lost(fingerprint)
         if self.detector._task is not None:
@@ -35,70 +35,70 @@
 
 
 @on_loop
-async def test_upstream_without_connections_that_takes_none_has_crashed():
-    world = World()
-    world.pool.open, world.pool.accepting = 0, False
-    await world.lose(1, 2)
-    assert world.crashes == [{1, 2}]
+async def test_closed_connections_and_refused_connect_mean_a_crash():
+    harness = CrashHarness()
+    harness.pool.open, harness.pool.accepting = 0, False
+    await harness.lose_connections(1, 2)
+    assert harness.crashes == [{1, 2}]
 
 
 @on_loop
-async def test_lost_answer_beside_open_connections_is_no_crash():
-    world = World()
-    world.pool.accepting = False
-    await world.lose(1)
-    assert world.crashes == []
+async def test_lost_connection_beside_open_ones_is_no_crash():
+    harness = CrashHarness()
+    harness.pool.accepting = False
+    await harness.lose_connections(1)
+    assert harness.crashes == []
 
 
 @on_loop
-async def test_upstream_that_takes_new_connections_has_not_crashed():
-    """Guards against suspecting requests whose connections were reset on the way."""
-    world = World()
-    world.pool.open = 0
-    await world.lose(1)
-    assert world.crashes == []
+async def test_upstream_that_accepts_connections_has_not_crashed():
+    """Guards against suspects after connections were reset by the network."""
+    harness = CrashHarness()
+    harness.pool.open = 0
+    await harness.lose_connections(1)
+    assert harness.crashes == []
 
 
 @on_loop
-async def test_crash_is_told_once():
-    world = World()
-    world.pool.open, world.pool.accepting = 0, False
-    await world.lose(1)
-    await world.lose(2)
-    world.detector.on_replaced([3])
-    assert len(world.crashes) == 1
+async def test_crash_is_reported_once():
+    harness = CrashHarness()
+    harness.pool.open, harness.pool.accepting = 0, False
+    await harness.lose_connections(1)
+    await harness.lose_connections(2)
+    harness.detector.on_replaced([3])
+    assert len(harness.crashes) == 1
 
 
 @on_loop
-async def test_next_incarnation_may_crash_again():
-    world = World()
-    world.pool.open, world.pool.accepting = 0, False
-    await world.lose(1)
-    world.replace("u2")
-    await world.lose(1)
-    assert world.crashes == [{1}, {1}]
+async def test_crash_of_next_incarnation_is_reported():
+    harness = CrashHarness()
+    harness.pool.open, harness.pool.accepting = 0, False
+    await harness.lose_connections(1)
+    harness.replace("u2")
+    await harness.lose_connections(1)
+    assert harness.crashes == [{1}, {1}]
 
 
 @on_loop
-async def test_replacement_suspects_what_its_silent_predecessor_still_ran():
-    """Guards against an upstream that loses its power and so resets nothing."""
-    world = GateHarness(slots=2)
+async def test_replacement_reports_runs_in_flight_at_silent_predecessor():
+    """After a power loss no connection is reset; the replacement shows the crash."""
+    harness = GateHarness(slots=2)
     crashes: list[frozenset[int]] = []
-    world.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
-    job, _ = world.submit("r1")
-    world.gate.attach(Upstream("u2", "127.0.0.1", 1, 2), 9)
+    harness.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
+    job, _ = harness.submit("r1")
+    harness.gate.attach(Upstream("u2", "127.0.0.1", 1, 2), 9)
     assert crashes == [{job.fingerprint}]
 
 
 @on_loop
-async def test_end_of_an_upstream_that_has_left_suspects_nobody():
-    world = GateHarness(slots=2)
+async def test_exit_of_detached_upstream_is_no_crash():
+    harness = GateHarness(slots=2)
     crashes: list[frozenset[int]] = []
-    world.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
-    world.pool.open, world.pool.accepting = 0, False
-    world.submit("r1")
-    world.gate.detach()
-    world.pool.connections[0].done(None)
+    harness.gate.crash_detector.on_crash = lambda _, suspects: crashes.append(suspects)
+    harness.pool.open, harness.pool.accepting = 0, False
+    harness.submit("r1")
+    harness.gate.detach()
+    harness.pool.connections[0].done(None)
     await asyncio.sleep(0.1)
-    world.gate.attach(Upstream("u2", "127.0.0.1", 1, 2), 9)
+    harness.gate.attach(Upstream("u2", "127.0.0.1", 1, 2), 9)
     assert crashes == []
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -1,4 +1,4 @@
-"""Every fault of an attempt, alone and followed by every other one."""
+"""Exhaustive test of all pairs of faults of a request's attempts."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """What becomes of one attempt.
+    """The way in which one attempt ends.
 
-    ``may_run`` tells whether a worker may have begun to work on it.  Without
-    an outcome the link is lost; without a verdict the guard does not answer.
+    ``may_run`` is whether an upstream may have run it.  Without an outcome the link
+    is lost; without a verdict the gate does not answer the fence.
     """
 
     name: str
@@ -27,14 +27,14 @@
     elsewhere: bool = True
     verdict: FenceVerdict | None = None
 
-    def strike(self, world: RelayHarness, link: FakeLink, place: int) -> None:
-        """Let it become of an attempt."""
+    def apply(self, harness: RelayHarness, link: FakeLink, index: int) -> None:
+        """End an attempt in this way."""
         if self.outcome is None:
-            world.pool.verdicts.append(self.verdict)
-            link.lose(place)
+            harness.pool.verdicts.append(self.verdict)
+            link.lose(index)
             return
         link.reply(
-            place,
+            index,
             self.outcome,
             self.reason,
             self.status,
@@ -46,42 +46,42 @@
 FAULTS = [
     Fault("shed by the gate", False, NOT_RUN, Reason.SHED),
     Fault("too late at the gate", False, NOT_RUN, Reason.TOO_LATE),
-    Fault("the worker is leaving", False, NOT_RUN, Reason.LEAVING),
-    Fault("the gate was restarted", False, NOT_RUN, Reason.STALE_INSTANCE),
-    Fault("no connection to the worker", False, NOT_RUN, Reason.UPSTREAM_DOWN),
-    Fault("the worker refuses", False, NOT_RUN, Reason.UPSTREAM_SHED),
-    Fault("cut off at the worker", True, UNKNOWN, Reason.CONNECTION),
-    Fault("the worker fails", True, ANSWERED, Reason.UPSTREAM_FAILED, 500),
-    Fault("a call of the worker fails", True, ANSWERED, Reason.NONE, 500, False),
+    Fault("upstream is leaving", False, NOT_RUN, Reason.LEAVING),
+    Fault("gate restarted", False, NOT_RUN, Reason.STALE_INSTANCE),
+    Fault("no connection to upstream", False, NOT_RUN, Reason.UPSTREAM_DOWN),
+    Fault("refused by upstream", False, NOT_RUN, Reason.UPSTREAM_SHED),
+    Fault("upstream connection lost", True, UNKNOWN, Reason.CONNECTION),
+    Fault("upstream fails", True, ANSWERED, Reason.UPSTREAM_FAILED, 500),
+    Fault("call of the upstream fails", True, ANSWERED, Reason.NONE, 500, False),
     Fault("link lost, fenced", False, verdict=FenceVerdict.NOT_RUN),
     Fault("link lost, handed over", True, verdict=FenceVerdict.HANDED_OVER),
-    Fault("link lost, forgotten", True, verdict=FenceVerdict.UNKNOWN),
-    Fault("link lost, guard gone", True),
+    Fault("link lost, fence unknown", True, verdict=FenceVerdict.UNKNOWN),
+    Fault("link lost, fence unanswered", True),
     Fault("answered", True, ANSWERED, Reason.NONE, 200),
 ]
 
 
-#: Reasons that say that an attempt reached a worker, though it did not run there.
-AT_WORKER = (Reason.UPSTREAM_SHED, Reason.STALE_INSTANCE)
+#: Reasons of attempts that reached an upstream but did not run there.
+AT_UPSTREAM = (Reason.UPSTREAM_SHED, Reason.STALE_INSTANCE)
 
 
 class Gates:
-    """Stands for the gates of the service: they count arrivals and grant repeats."""
+    """The gates of the service: count arrivals and charge their retry budget."""
 
-    def __init__(self, world: RelayHarness) -> None:
-        self.grants = RepeatGrants(world.clock, ratio=0.2, extra=48, window=10)
+    def __init__(self, harness: RelayHarness) -> None:
+        self.grants = RepeatGrants(harness.clock, ratio=0.2, extra=48, window=10)
         self.granted = 0
 
-    def take(self, link: FakeLink, place: int) -> bool:
-        """Return whether an attempt may arrive; deny it if not."""
-        run = link.runs[place][0]
+    def take(self, link: FakeLink, index: int) -> bool:
+        """Return whether an attempt is admitted; deny it if not."""
+        run = link.runs[index][0]
         if not run.arrived:
             self.grants.count_request()
             return True
         if self.grants.grant(run.rank):
             self.granted += 1
             return True
-        link.reply(place, NOT_RUN, Reason.NO_REPEAT, retry_elsewhere=True)
+        link.reply(index, NOT_RUN, Reason.NO_REPEAT, retry_elsewhere=True)
         return False
 
     @property
@@ -89,48 +89,50 @@
         return self.grants._budget.allowed
 
 
-def _next_attempt(world: RelayHarness, seen: set) -> tuple[FakeLink, int] | None:
-    for link, place in world.runs:
-        if (link.peer, place) not in seen:
-            seen.add((link.peer, place))
-            return link, place
+def _next_attempt(harness: RelayHarness, seen: set) -> tuple[FakeLink, int] | None:
+    for link, index in harness.runs:
+        if (link.peer, index) not in seen:
+            seen.add((link.peer, index))
+            return link, index
     return None
 
 
-async def _play(faults: tuple[Fault, ...], idempotent: bool) -> None:
-    world = RelayHarness(peers=3, idempotent=idempotent, most_upstreams=2)
-    exchange = world.send_request()
+async def _run_scenario(faults: tuple[Fault, ...], idempotent: bool) -> None:
+    harness = RelayHarness(peers=3, idempotent=idempotent, most_upstreams=2)
+    exchange = harness.send_request()
     seen: set = set()
-    struck: list[Fault] = []
-    gates = Gates(world)
+    applied: list[Fault] = []
+    gates = Gates(harness)
     for step in range(30):
         for _ in range(4):
             await asyncio.sleep(0)
-        attempt = _next_attempt(world, seen)
+        attempt = _next_attempt(harness, seen)
         if attempt is None:
             break
-        if any(fault.may_run or fault.reason in AT_WORKER for fault in struck):
-            link, place = attempt
-            assert link.runs[place][0].arrived, "a repeat that does not say so"
+        if any(fault.may_run or fault.reason in AT_UPSTREAM for fault in applied):
+            link, index = attempt
+            assert link.runs[index][0].arrived, "retry that is not marked as one"
         if not gates.take(*attempt):
             continue
         fault = faults[min(step, len(faults) - 1)]
-        struck.append(fault)
-        fault.strike(world, *attempt)
+        applied.append(fault)
+        fault.apply(harness, *attempt)
     assert exchange.answered, "no final answer"
     status = exchange.output[0]
-    may_have_run = sum(fault.may_run for fault in struck)
+    may_have_run = sum(fault.may_run for fault in applied)
     if not idempotent:
-        assert may_have_run <= 1, "may have run twice"
-    assert may_have_run <= 2, "ran at more workers than the route allows"
+        assert may_have_run <= 1, "non-idempotent request may have run twice"
+    assert may_have_run <= 2, "ran at more upstreams than the route allows"
     if status == 503:
-        assert may_have_run == 0, "'not run' may be false"
+        assert may_have_run == 0, "'not run' for a request that may have run"
     if status == 200:
-        assert struck[-1].name == "answered"
-    arrivals = sum(fault.may_run or fault.reason in AT_WORKER for fault in struck)
-    assert arrivals - 1 <= gates.granted <= gates.allowed, "a repeat not paid for"
-    assert len(struck) <= 2 + gates.granted, "sent too often"
-    assert world.gate.outstanding == 0
+        assert applied[-1].name == "answered"
+    arrivals = sum(fault.may_run or fault.reason in AT_UPSTREAM for fault in applied)
+    assert arrivals - 1 <= gates.granted <= gates.allowed, "retry without budget"
+    assert len(applied) <= 2 + gates.granted, (
+        "more attempts than the retry budget allows"
+    )
+    assert harness.gate.outstanding == 0
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
@@ -139,10 +141,10 @@
     list(product(FAULTS, repeat=2)),
     ids=lambda p: ", ".join(f.name for f in p),
 )
-def test_every_pair_of_faults_keeps_the_promises(faults, idempotent):
-    """Two faults strike the attempts of one request one after the other.
+def test_every_pair_of_faults_keeps_the_guarantees(faults, idempotent):
+    """The attempts of one request end in two faults, one after the other.
 
-    Whatever they are, there is one final answer; what must not be repeated
-    may have run once at most; "not run" is said only of what can't have run.
+    There is one final response; a request that is not idempotent runs at most once;
+    "not run" is reported only if it can't have run.
     """
-    on_loop(_play)(faults, idempotent)
+    on_loop(_run_scenario)(faults, idempotent)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the path of a request from its node, without sockets."""
+"""Tests of routing, forwarding and retries at the entry node, without sockets."""
 
 import asyncio
 import gc
@@ -20,10 +20,10 @@
 
 
 @on_loop
-async def test_an_answer_comes_back_as_it_was_given():
-    world = RelayHarness(peers=1)
-    exchange = world.send_request()
-    [link] = world.links
+async def test_upstream_response_is_forwarded_unchanged():
+    harness = RelayHarness(peers=1)
+    exchange = harness.send_request()
+    [link] = harness.links
     run, _ = link.runs[0]
     assert b"Rattanfork-Caller: s\r\n" in run.block
     assert 900 < run.time_left <= 1000
@@ -32,299 +32,294 @@
 
 
 @on_loop
-async def test_without_a_route_the_answer_is_404_and_without_instances_503():
-    world = RelayHarness()
-    assert world.send_request("/none/").output[0] == 404
-    status, block, _ = world.send_request().output
+async def test_unknown_route_gets_404_and_service_without_instances_503():
+    harness = RelayHarness()
+    assert harness.send_request("/none/").output[0] == 404
+    status, block, _ = harness.send_request().output
     assert status == 503
     assert b"Retry-After: " in block
 
 
 @on_loop
-async def test_what_may_run_once_is_not_sent_again_after_a_lost_link():
-    """The link to the guard is lost while a posting is there.
+async def test_non_idempotent_request_is_not_retried_after_link_loss():
+    """The link is lost after the gate has handed the request to its upstream.
 
-    The guard is asked over another link; it has handed the posting over, so
-    nobody can say how it ended, and it is not sent to anybody else.
+    The gate says so when it is asked to fence the request; its outcome is unknown.
     """
-    world = RelayHarness(peers=2, idempotent=False)
-    world.pool.verdicts = [FenceVerdict.HANDED_OVER]
-    exchange = world.send_request()
-    [(link, place)] = world.runs
-    link.lose(place)
+    harness = RelayHarness(peers=2, idempotent=False)
+    harness.pool.verdicts = [FenceVerdict.HANDED_OVER]
+    exchange = harness.send_request()
+    [(link, index)] = harness.runs
+    link.lose(index)
     await settle()
-    assert len(world.runs) == 1
+    assert len(harness.runs) == 1
     assert exchange.output[0] == 502
 
 
 @on_loop
-async def test_what_the_guard_has_fenced_is_sent_again():
-    """The link to the guard is lost before the posting was handed over.
+async def test_fenced_request_is_retried_after_link_loss():
+    """The link is lost before the gate has handed the request to its upstream.
 
-    The guard says so and refuses it from then on, so another may run it.
+    The fenced gate will not run the request any more, so another instance may.
     """
-    world = RelayHarness(peers=2, idempotent=False)
-    world.pool.verdicts = [FenceVerdict.NOT_RUN]
-    exchange = world.send_request()
-    [(link, place)] = world.runs
-    link.lose(place)
+    harness = RelayHarness(peers=2, idempotent=False)
+    harness.pool.verdicts = [FenceVerdict.NOT_RUN]
+    exchange = harness.send_request()
+    [(link, index)] = harness.runs
+    link.lose(index)
     await settle()
-    assert len(world.pool.fenced) == 1
-    other, place = next(r for r in world.runs if r[0] is not link)
-    other.reply(place, ANSWERED, status=200)
+    assert len(harness.pool.fenced) == 1
+    other, index = next(r for r in harness.runs if r[0] is not link)
+    other.reply(index, ANSWERED, status=200)
     assert exchange.output[0] == 200
 
 
 @on_loop
-async def test_an_upstreams_own_failure_is_tried_elsewhere_and_else_handed_on():
-    world = RelayHarness(peers=2, most_upstreams=2)
-    exchange = world.send_request()
-    [(first, place)] = world.runs
+async def test_upstream_failure_is_retried_once_and_then_returned():
+    harness = RelayHarness(peers=2, most_upstreams=2)
+    exchange = harness.send_request()
+    [(first, index)] = harness.runs
     failed = Reason.UPSTREAM_FAILED
-    first.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
+    first.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     assert exchange.output is None
-    second, place = next(r for r in world.runs if r[0] is not first)
-    assert (second.runs[place][0].arrived, second.runs[place][0].attempt) == (True, 2)
-    second.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
+    second, index = next(r for r in harness.runs if r[0] is not first)
+    assert (second.runs[index][0].arrived, second.runs[index][0].attempt) == (True, 2)
+    second.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     assert exchange.output == (500, b"", b"body")
 
 
 @on_loop
-async def test_an_upstream_that_fails_postings_gets_fewer_of_them():
-    """One of two instances has turned slow and fails postings at their deadline.
+async def test_instance_that_fails_posts_gets_less_traffic():
+    """One of two instances answers every non-idempotent request with 504.
 
-    A posting is not sent again, so its caller gets the failure.  It must speak
-    against the instance, or half of all postings would go on failing there.
+    The requests are not retried, but the failures must count in load balancing, or
+    half of all such requests would keep failing.
     """
-    world = RelayHarness(peers=2, idempotent=False)
-    slow = world.links[0]
-    sent = {link.peer: 0 for link in world.links}
+    harness = RelayHarness(peers=2, idempotent=False)
+    slow = harness.links[0]
+    sent = {link.peer: 0 for link in harness.links}
     for number in range(40):
-        exchange = world.send_request(request_id=f"r{number}")
-        [(link, place)] = [r for r in world.runs if r[1] == sent[r[0].peer]]
+        exchange = harness.send_request(request_id=f"r{number}")
+        [(link, index)] = [r for r in harness.runs if r[1] == sent[r[0].peer]]
         sent[link.peer] += 1
         if link is slow:
-            link.reply(place, ANSWERED, Reason.UPSTREAM_FAILED, 504)
+            link.reply(index, ANSWERED, Reason.UPSTREAM_FAILED, 504)
             assert exchange.output == (504, b"", b"body")
         else:
-            link.reply(place, ANSWERED, status=200)
+            link.reply(index, ANSWERED, status=200)
     assert sent[slow.peer] <= 8
 
 
 @on_loop
-async def test_the_time_of_a_route_ends_a_request_and_its_run():
-    world = RelayHarness(peers=1, timeout=0.03)
-    exchange = world.send_request()
+async def test_route_timeout_ends_request_and_cancels_run():
+    harness = RelayHarness(peers=1, timeout=0.03)
+    exchange = harness.send_request()
     await asyncio.sleep(0.05)
     assert exchange.output[0] == 504
-    assert [type(m) for m in world.links[0].sent] == [Cancel]
-    world.links[0].reply(0, ANSWERED, status=200)
+    assert [type(m) for m in harness.links[0].sent] == [Cancel]
+    harness.links[0].reply(0, ANSWERED, status=200)
     assert exchange.output[0] == 504
 
 
 @on_loop
-async def test_a_caller_that_leaves_ends_its_run():
-    world = RelayHarness(peers=1)
-    exchange = world.send_request()
+async def test_caller_disconnect_cancels_run():
+    harness = RelayHarness(peers=1)
+    exchange = harness.send_request()
     exchange.on_gone()
-    assert [type(m) for m in world.links[0].sent] == [Cancel]
+    assert [type(m) for m in harness.links[0].sent] == [Cancel]
 
 
 @on_loop
-async def test_a_threshold_heard_refuses_at_the_root_but_not_a_run_begun():
-    """The only instance announces that it sheds what is of little importance.
+async def test_announced_threshold_refuses_callers_but_not_calls_of_a_run():
+    """The only instance announces that it sheds requests of low importance.
 
-    A caller's request is refused at once and told when to come back.  A call
-    of a run at our own upstream has the rank of that run and still passes.
+    A call of a run at the node's own upstream has the same rank and still passes.
     """
-    world = RelayHarness(peers=1)
-    world.send_request()
-    world.links[0].reply(0, ANSWERED, status=200, cut=2.0)
-    exchange = world.send_request(request_id="r2")
+    harness = RelayHarness(peers=1)
+    harness.send_request()
+    harness.links[0].reply(0, ANSWERED, status=200, cut=2.0)
+    exchange = harness.send_request(request_id="r2")
     assert exchange.output[0] == 503
     assert b"Retry-After" in exchange.output[1]
-    world.gate_world.submit("run", rank=2.5)
-    assert world.send_request("/a/x", request_id="run.0123456789abcdef").output is None
+    harness.gate_harness.submit("run", rank=2.5)
+    assert (
+        harness.send_request("/a/x", request_id="run.0123456789abcdef").output is None
+    )
 
 
 @on_loop
-async def test_what_a_deeper_service_sheds_is_refused_where_it_comes_in():
-    """A service two levels down sheds; no reply of this node's own has said so.
+async def test_request_shed_by_downstream_service_is_refused_at_entry():
+    """A service behind the called one sheds, as its gates have reported by gossip.
 
-    One answer has told which services lie behind the route, its gates have told the
-    fleet what they shed.  The next request would break there after all other work
-    was done, so it is refused at once; one of higher importance is not.
+    A previous response named the services behind the route.  Without the early
+    refusal, requests would fail there after all other work was done.
     """
-    world = RelayHarness(peers=1)
-    world.send_request()
-    world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
-    world.reports.update_own("deep", 1.5, impaired=False)
-    exchange = world.send_request(request_id="r2")
+    harness = RelayHarness(peers=1)
+    harness.send_request()
+    harness.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
+    harness.reports.update_own("deep", 1.5, impaired=False)
+    exchange = harness.send_request(request_id="r2")
     assert exchange.output[0] == 503
-    assert world.log.lines[-1]["chain"] == {"t": 5.0, "deep": 1.5}
-    world.clock.advance(9.0)
-    assert world.send_request(request_id="r3").output is None
+    assert harness.log.lines[-1]["chain"] == {"t": 5.0, "deep": 1.5}
+    harness.clock.advance(9.0)
+    assert harness.send_request(request_id="r3").output is None
 
 
 @on_loop
-async def test_a_call_goes_to_a_gate_that_does_not_shed_it():
-    """One of two gates has told the fleet that it sheds; the other has room."""
-    world = RelayHarness(peers=2)
-    told = GateReportTable(world.clock, world.links[0].peer)
+async def test_request_avoids_instance_whose_gate_sheds_it():
+    """One of two gates has reported by gossip that it sheds."""
+    harness = RelayHarness(peers=2)
+    told = GateReportTable(harness.clock, harness.links[0].peer)
     told.update_own("t", 1.0, impaired=False)
-    world.reports.merge(told.take_fresh())
+    harness.reports.merge(told.take_fresh())
     for number in range(10):
-        world.send_request(request_id=f"r{number}")
-    assert not world.links[0].runs
+        harness.send_request(request_id=f"r{number}")
+    assert not harness.links[0].runs
 
 
 @on_loop
-async def test_the_services_that_a_run_has_reached_are_told_with_its_answer():
-    """An upstream calls a service, whose answer tells of one further down."""
-    world = RelayHarness(peers=1)
-    run, results = world.gate_world.submit("run")
-    world.send_request("/i/x", request_id="run.0123456789abcdef")
-    world.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
-    world.gate_world.answer(0)
+async def test_result_of_a_run_names_the_services_behind_it():
+    """The upstream calls a service whose response names another one behind it."""
+    harness = RelayHarness(peers=1)
+    run, results = harness.gate_harness.submit("run")
+    harness.send_request("/i/x", request_id="run.0123456789abcdef")
+    harness.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
+    harness.gate_harness.answer(0)
     assert results[0].reach == ("deep", "t")
 
 
 @on_loop
-async def test_a_run_that_broke_off_teaches_nothing_of_its_chain():
-    world = RelayHarness(peers=1)
-    run, results = world.gate_world.submit("run")
-    world.send_request("/i/x", request_id="run.0123456789abcdef")
-    world.links[0].reply(0, ANSWERED, status=200)
-    world.gate_world.answer(0, status=500)
+async def test_failed_run_does_not_change_learned_dependencies():
+    harness = RelayHarness(peers=1)
+    run, results = harness.gate_harness.submit("run")
+    harness.send_request("/i/x", request_id="run.0123456789abcdef")
+    harness.links[0].reply(0, ANSWERED, status=200)
+    harness.gate_harness.answer(0, status=500)
     assert results[0].reach == ()
 
 
 @on_loop
-async def test_a_request_that_two_gates_deny_a_repeat_is_given_up():
-    """An upstream fails, and the gates of the others have no repeat left.
+async def test_request_is_given_up_after_two_denied_retries():
+    """An upstream fails, and two other gates have no retry budget left.
 
-    The caller gets the upstream's own failure, and no third gate is asked.
+    The caller gets the upstream's failure, and no third gate is asked.
     """
-    world = RelayHarness(peers=4, most_upstreams=2)
-    exchange = world.send_request()
-    [(first, place)] = world.runs
+    harness = RelayHarness(peers=4, most_upstreams=2)
+    exchange = harness.send_request()
+    [(first, index)] = harness.runs
     failed = Reason.UPSTREAM_FAILED
-    first.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
+    first.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     asked = {first.peer}
     for _ in range(2):
         assert exchange.output is None
-        denying, place = next(r for r in world.runs if r[0].peer not in asked)
+        denying, index = next(r for r in harness.runs if r[0].peer not in asked)
         asked.add(denying.peer)
-        denying.reply(place, NOT_RUN, Reason.NO_REPEAT, retry_elsewhere=True)
+        denying.reply(index, NOT_RUN, Reason.NO_REPEAT, retry_elsewhere=True)
     assert exchange.output == (500, b"", b"body")
-    assert len(world.runs) == 3
+    assert len(harness.runs) == 3
 
 
 @on_loop
-async def test_a_call_ends_with_the_run_that_made_it():
-    """The caller of a run leaves while the run waits for a call of its own.
-
-    Nobody wants the answer of the call either; it is cancelled with the run.
-    """
-    world = RelayHarness(peers=1)
-    job, _ = world.gate_world.submit("run", deadline=world.clock.now() + 0.3)
-    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
-    run, _ = world.links[0].runs[0]
+async def test_cancelling_a_run_cancels_its_calls():
+    """A run is cancelled while it waits for a call of its own."""
+    harness = RelayHarness(peers=1)
+    job, _ = harness.gate_harness.submit("run", deadline=harness.clock.now() + 0.3)
+    exchange = harness.send_request("/i/x", request_id="run.0123456789abcdef")
+    run, _ = harness.links[0].runs[0]
     assert run.time_left <= 300
-    world.gate.cancel(job)
-    assert [type(m) for m in world.links[0].sent] == [Cancel]
+    harness.gate.cancel(job)
+    assert [type(m) for m in harness.links[0].sent] == [Cancel]
     assert exchange.answered
 
 
 @on_loop
-async def test_a_run_that_must_not_be_repeated_keeps_its_calls():
-    """The caller of a posting leaves, or its node is lost, while it runs.
+async def test_cancelling_a_non_idempotent_run_keeps_its_calls():
+    """A run that is not idempotent continues after its caller has disconnected.
 
-    The run goes on, for nobody could tell the state it was cut off in.  It can
-    only end well if the calls that it has made are not stopped either.
+    It can succeed only if its calls continue too.
     """
-    world = RelayHarness(peers=1)
-    job, _ = world.gate_world.submit("run", idempotent=False)
-    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
-    world.gate.cancel(job)
-    assert world.links[0].sent == []
+    harness = RelayHarness(peers=1)
+    job, _ = harness.gate_harness.submit("run", idempotent=False)
+    exchange = harness.send_request("/i/x", request_id="run.0123456789abcdef")
+    harness.gate.cancel(job)
+    assert harness.links[0].sent == []
     assert not exchange.answered
 
 
 @on_loop
-async def test_a_leaving_node_answers_no_call_in_place_of_an_upstream():
-    """A node was told to stop; a run at its upstream is cancelled.
+async def test_draining_node_does_not_fail_calls_of_cancelled_runs():
+    """A run at the upstream of a draining node is cancelled.
 
-    The run's connection is closed, and the upstream closes those of its calls
-    if it takes note.  A call that is still wanted is at work elsewhere, and is
-    not broken off by a node on its way out.
+    Its connection is closed, and it is left to the upstream to close those of its
+    calls: one that still waits for a call must not get a failure from the restart.
     """
-    world = RelayHarness(peers=1)
-    job, _ = world.gate_world.submit("run")
-    exchange = world.send_request("/i/x", request_id="run.0123456789abcdef")
-    world.gate.leave()
-    world.gate.cancel(job)
-    assert world.gate_world.pool.connections[0].aborted
+    harness = RelayHarness(peers=1)
+    job, _ = harness.gate_harness.submit("run")
+    exchange = harness.send_request("/i/x", request_id="run.0123456789abcdef")
+    harness.gate.leave()
+    harness.gate.cancel(job)
+    assert harness.gate_harness.pool.connections[0].aborted
     assert not exchange.answered
     exchange.on_gone()
-    assert [type(m) for m in world.links[0].sent] == [Cancel]
+    assert [type(m) for m in harness.links[0].sent] == [Cancel]
 
 
 @on_loop
-async def test_a_leaving_node_takes_what_ends_before_it_and_nothing_else():
-    """A node was told to stop; a client whose zone has few others goes on.
+async def test_draining_node_accepts_only_requests_that_end_in_time():
+    """A client keeps sending to a draining node.
 
-    Taken, its request would be cut when the node ends.  Refused as not run it
-    can go elsewhere.  A call of a run that is still at work is taken.
+    A request whose timeout exceeds the time left is refused as not run, so that the
+    client can retry elsewhere.  A call of a run in progress is accepted.
     """
-    world = RelayHarness(peers=1, timeout=1.0)
-    end = world.clock.now() + 1.5
-    world.relay.drain(DrainPolicy(world.clock, end, 0.0))
-    assert world.send_request(request_id="r1").output is None
-    world.clock.advance(0.6)
-    assert world.send_request(request_id="r2").output[0] == 503
-    world.gate_world.submit("run", deadline=world.clock.now() + 0.5)
-    assert world.send_request("/i/x", request_id="run.0123456789abcdef").output is None
+    harness = RelayHarness(peers=1, timeout=1.0)
+    end = harness.clock.now() + 1.5
+    harness.relay.drain(DrainPolicy(harness.clock, end, 0.0))
+    assert harness.send_request(request_id="r1").output is None
+    harness.clock.advance(0.6)
+    assert harness.send_request(request_id="r2").output[0] == 503
+    harness.gate_harness.submit("run", deadline=harness.clock.now() + 0.5)
+    assert (
+        harness.send_request("/i/x", request_id="run.0123456789abcdef").output is None
+    )
 
 
 @on_loop
-async def test_a_leaving_node_takes_what_usually_ends_long_before_it():
-    """A node was told to stop; its clients have not noticed yet and go on.
+async def test_draining_node_accepts_fast_requests_with_long_timeouts():
+    """The timeout of a route exceeds the time left, but its requests take 50 ms.
 
-    The route's timeout is longer than what is left, but its requests take 50 ms.
-    Refused, its clients would come back to the same node in vain.  Later, when
-    the node may end at any moment, they are refused.
+    Clients that have not noticed the drain would retry a refusal at the same node.
+    Slow requests, and all requests after ``serves_until``, are refused.
     """
-    world = RelayHarness(peers=1, timeout=5.0)
-    world.relay.directory.picker("t").subset[0].latency = 0.05
-    now = world.clock.now()
-    world.relay.drain(DrainPolicy(world.clock, now + 4.0, now + 2.0))
-    assert world.send_request(request_id="r1").output is None
-    world.relay.directory.picker("t").subset[0].latency = 1.5
-    assert world.send_request(request_id="r2").output[0] == 503
-    world.relay.directory.picker("t").subset[0].latency = 0.05
-    world.clock.advance(2.1)
-    assert world.send_request(request_id="r3").output[0] == 503
+    harness = RelayHarness(peers=1, timeout=5.0)
+    harness.relay.directory.picker("t").subset[0].latency = 0.05
+    now = harness.clock.now()
+    harness.relay.drain(DrainPolicy(harness.clock, now + 4.0, now + 2.0))
+    assert harness.send_request(request_id="r1").output is None
+    harness.relay.directory.picker("t").subset[0].latency = 1.5
+    assert harness.send_request(request_id="r2").output[0] == 503
+    harness.relay.directory.picker("t").subset[0].latency = 0.05
+    harness.clock.advance(2.1)
+    assert harness.send_request(request_id="r3").output[0] == 503
 
 
 @on_loop
-async def test_an_instance_that_nobody_reaches_is_not_the_end():
-    """No connection can be made to the instance that was picked.
+async def test_unreachable_instance_is_replaced_by_another():
+    """No link to the picked instance can be opened.
 
-    Nothing was sent, so also what may run once goes to another.
+    Nothing was sent, so a request that is not idempotent may be retried too.
     """
-    world = RelayHarness(peers=2, idempotent=False)
-    del world.pool.links["p0@b"]
+    harness = RelayHarness(peers=2, idempotent=False)
+    del harness.pool.links["p0@b"]
     for _ in range(20):
-        world.send_request()
+        harness.send_request()
         await settle()
-    assert len(world.pool.links["p1@b"].runs) == 20
+    assert len(harness.pool.links["p1@b"].runs) == 20
 
 
 @on_loop
-async def test_the_first_rule_that_holds_decides_before_the_route():
-    world = RelayHarness(peers=1)
-    world.accept_rules(
+async def test_first_matching_rule_overrides_the_route():
+    harness = RelayHarness(peers=1)
+    harness.accept_rules(
         """
 rules:
   - name: keep
@@ -338,16 +333,16 @@
     then: {importance: high}
 """
     )
-    status, block, _ = world.send_request().output
+    status, block, _ = harness.send_request().output
     assert status == 503
     assert b"Retry-After: 7.00" in block
-    assert world.runs == []
+    assert harness.runs == []
 
 
 @on_loop
-async def test_a_rule_changes_importance_time_and_attempts():
-    world = RelayHarness(peers=2, timeout=5.0)
-    world.accept_rules(
+async def test_rule_sets_importance_deadline_and_attempts():
+    harness = RelayHarness(peers=2, timeout=5.0)
+    harness.accept_rules(
         """
 rules:
   - name: first
@@ -355,65 +350,63 @@
     then: {importance: critical, deadline: 0.5, attempts: 0, idempotent: false}
 """
     )
-    exchange = world.send_request()
-    [(link, place)] = world.runs
-    run = link.runs[place][0]
+    exchange = harness.send_request()
+    [(link, index)] = harness.runs
+    run = link.runs[index][0]
     assert run.rank < 1
     assert run.time_left <= 500
     assert not run.idempotent
     failed = Reason.UPSTREAM_FAILED
-    link.reply(place, ANSWERED, failed, 500, retry_elsewhere=True)
+    link.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     assert exchange.output[0] == 500
 
 
 @on_loop
-async def test_a_call_of_a_run_is_not_ruled_again():
-    """A rule turns callers away while a run that was let in makes its calls."""
-    world = RelayHarness(peers=1)
-    world.gate_world.submit("run")
-    world.accept_rules("rules: [{name: all, then: {refuse: {retry_after: 1}}}]")
-    assert world.send_request(request_id="r1").output[0] == 503
-    assert world.send_request("/i/x", request_id="run.0123456789abcdef").output is None
+async def test_rules_do_not_apply_to_calls_of_a_run():
+    """A rule that refuses all requests comes into force during a run."""
+    harness = RelayHarness(peers=1)
+    harness.gate_harness.submit("run")
+    harness.accept_rules("rules: [{name: all, then: {refuse: {retry_after: 1}}}]")
+    assert harness.send_request(request_id="r1").output[0] == 503
+    assert (
+        harness.send_request("/i/x", request_id="run.0123456789abcdef").output is None
+    )
 
 
 @on_loop
-async def test_without_knowing_whether_there_are_rules_nothing_is_taken():
-    """A fresh node can't reach the store and no peer has told it the rules.
+async def test_requests_are_refused_until_rules_are_known():
+    """A new node has received the rules neither from the store nor from a peer.
 
-    Serving by routes alone would bring back what a rule had turned away.
+    It would otherwise accept requests that a rule refuses.
     """
-    world = RelayHarness(peers=1)
-    world.relay._rules = type(world.rules)()
-    assert world.send_request().output[0] == 503
+    harness = RelayHarness(peers=1)
+    harness.relay._rules = type(harness.rules)()
+    assert harness.send_request().output[0] == 503
 
 
 @on_loop
-async def test_a_data_centre_that_a_rule_names_is_the_only_one():
-    """A rule keeps a route in one data centre, and all its instances shed.
-
-    The request is not sent to another data centre for that.
-    """
-    world = RelayHarness(peers=2)
-    world.accept_rules("rules: [{name: home, then: {data_centre: dc2}}]")
-    exchange = world.send_request()
-    assert world.runs == []
+async def test_rule_restricts_requests_to_its_data_centre():
+    """A rule names a data centre without instances of the service."""
+    harness = RelayHarness(peers=2)
+    harness.accept_rules("rules: [{name: home, then: {data_centre: dc2}}]")
+    exchange = harness.send_request()
+    assert harness.runs == []
     assert exchange.output[0] == 503
 
 
 @on_loop
-async def test_a_request_that_was_answered_is_let_go_at_once():
-    """Thousands of requests a second are answered, here and by peers.
+async def test_answered_request_leaves_no_reference_cycle():
+    """Guards against memory that grows with the request rate.
 
-    Each that is left in a cycle of references keeps its bodies until the next
-    collection, so the memory of a node would grow with its load.
+    A request in a reference cycle keeps its bodies until the next collection.
     """
-    world = RelayHarness(peers=1)
+    harness = RelayHarness(peers=1)
     gc.collect()
     gc.disable()
     try:
-        world.send_request()
-        world.links[0].reply(0, ANSWERED, status=200)
-        world.links[0].runs.clear()
+        harness.send_request()
+        harness.links[0].reply(0, ANSWERED, status=200)
+        harness.links[0].runs.clear()
         await settle()
         left = [o for o in gc.get_objects() if isinstance(o, Exchange | Job)]
     finally:
@@ -422,33 +415,32 @@
 
 
 @on_loop
-async def test_a_refusal_close_to_the_deadline_stays_a_refusal():
-    """A posting waited at a guard until it could no longer end in time.
+async def test_refusal_close_to_the_deadline_is_not_retried():
+    """A gate reports "not run" when 20 ms are left, while runs take 100 ms.
 
-    The guard says that it did not run.  Sent elsewhere with 20 ms left, where
-    runs take 100 ms, it would end as one that may have run, and its caller could
-    not try it again.
+    A retry would time out with an unknown outcome, and the caller could no longer
+    retry a request that is not idempotent.
     """
-    world = RelayHarness(peers=2, idempotent=False, timeout=1.0)
-    exchange = world.send_request()
-    [(link, place)] = world.runs
-    for state in world.relay.directory.picker("t").subset:
+    harness = RelayHarness(peers=2, idempotent=False, timeout=1.0)
+    exchange = harness.send_request()
+    [(link, index)] = harness.runs
+    for state in harness.relay.directory.picker("t").subset:
         state.latency = 0.1
-    world.clock.advance(0.97)
-    link.reply(place, NOT_RUN, Reason.TOO_LATE, retry_elsewhere=True)
+    harness.clock.advance(0.97)
+    link.reply(index, NOT_RUN, Reason.TOO_LATE, retry_elsewhere=True)
     assert exchange.output[0] == 503
-    assert len(world.runs) == 1
+    assert len(harness.runs) == 1
 
 
 @on_loop
-async def test_calls_of_a_run_go_first_once_others_of_it_have_succeeded():
-    """Guards against a run that loses all its calls with the last one."""
-    world = RelayHarness(peers=1)
-    job, _ = world.gate_world.submit("r1", rank=2.55)
+async def test_calls_rank_higher_after_earlier_calls_succeeded():
+    """Guards against shedding the last call of a run after its others succeeded."""
+    harness = RelayHarness(peers=1)
+    job, _ = harness.gate_harness.submit("r1", rank=2.55)
     for number in range(3):
-        world.send_request("/i/x", request_id=f"r1.{number}")
-        world.links[0].reply(number, ANSWERED, status=200)
-    ranks = [run.rank for run, _ in world.links[0].runs]
+        harness.send_request("/i/x", request_id=f"r1.{number}")
+        harness.links[0].reply(number, ANSWERED, status=200)
+    ranks = [run.rank for run, _ in harness.links[0].runs]
     assert ranks == sorted(ranks, reverse=True)
     assert ranks[0] == 2.55
     assert all(rank >= 2.4 for rank in ranks)
