--- a/packages/rattanfork-core/rattanfork_core/announcements/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/__init__.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, in the order they meant it."""
+"""Announcements by which upstreams register with the node beside them."""
 
 from rattanfork_core.announcements.announcement import Announcement
 from rattanfork_core.announcements.tracker import AnnouncementTracker
--- a/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
@@ -1,34 +1,34 @@
-"""One announcement of an upstream."""
+"""Registration and heartbeat of an upstream."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an upstream says of itself, about every heartbeat interval.
+    """State that an upstream sends to its node once per heartbeat interval.
 
     Parameters
     ==========
 
     upstream : str
-        ID of the upstream; one that starts again may keep it.
+        ID of the upstream; it may be the same after a restart.
     service : str
-        Service that it runs.
+        Service that the upstream runs.
     host : str
         Its address.
     port : int
         Its port.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs at once.
     sequence : int
-        Rises with each announcement of the incarnation.
+        Increases with each announcement of one incarnation.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new requests.
     warmup_left : float
         Seconds for which it is still slow after its start.
     born : int
-        When the incarnation started, in Unix milliseconds of its own clock; 0 if
-        it does not say.
+        Start of the incarnation in Unix milliseconds of the upstream's clock; 0 if
+        unknown.
     """
 
     upstream: str
--- a/packages/rattanfork-core/rattanfork_core/announcements/tests/test_tracker.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/tests/test_tracker.py
@@ -1,101 +1,100 @@
-"""Tests of the order of announcements."""
+"""Late announcements and those of ended incarnations are ignored."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 from rattanfork_core.announcements import Announcement, AnnouncementTracker
 
 
-def says(
+def announce(
     upstream: str, sequence: int, leaving: bool = False, born: int = 0
 ) -> Announcement:
     return Announcement(upstream, "s", "h", 1, 8, sequence, leaving, 0.0, born)
 
 
-def test_a_late_announcement_does_not_bring_back_who_is_leaving():
-    """An upstream says that it is leaving; its announcement before is late.
+def test_late_announcement_does_not_revert_leaving():
+    """An announcement sent before the one with ``leaving`` arrives after it.
 
-    It arrives after.  Taken at its word, the upstream would get new work
-    that it is about to cut off.
+    If it were accepted, the upstream would get new requests, which it would abort.
     """
-    book = AnnouncementTracker()
-    book.accept(says("a", 5, leaving=True))
-    assert not book.accept(says("a", 4))
-    assert book.current.leaving
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 5, leaving=True))
+    assert not tracker.accept(announce("a", 4))
+    assert tracker.current.leaving
 
 
-def test_an_upstream_that_stays_after_all_is_taken_back():
-    book = AnnouncementTracker()
-    book.accept(says("a", 5, leaving=True))
-    assert book.accept(says("a", 6))
-    assert not book.current.leaving
+def test_later_announcement_without_leaving_is_accepted():
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 5, leaving=True))
+    assert tracker.accept(announce("a", 6))
+    assert not tracker.current.leaving
 
 
-def test_a_dead_incarnation_does_not_replace_its_successor():
-    """An upstream crashes; its successor announces itself at the address.
+def test_late_announcement_of_a_crashed_upstream_does_not_replace_its_successor():
+    """An upstream crashes, and its successor announces itself at the same address.
 
-    An announcement of the dead one, held up on the way, arrives last.
-    Requests would name an incarnation that nobody is, and all be refused.
+    If a delayed announcement of the crashed one were accepted, requests would be sent
+    to an incarnation that no longer exists, and all be refused.
     """
-    book = AnnouncementTracker()
-    book.accept(says("old", 9))
-    book.accept(says("new", 1))
-    assert not book.accept(says("old", 10))
-    assert book.current.upstream == "new"
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("old", 9))
+    tracker.accept(announce("new", 1))
+    assert not tracker.accept(announce("old", 10))
+    assert tracker.current.upstream == "new"
 
 
-def test_who_has_left_does_not_come_back():
-    book = AnnouncementTracker()
-    book.accept(says("a", 1))
-    assert book.retire("a")
-    assert not book.accept(says("a", 2))
-    assert book.current is None
-    assert not book.retire("stranger")
-    assert book.is_retired("stranger")
+def test_retired_upstream_is_not_accepted_again():
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 1))
+    assert tracker.retire("a")
+    assert not tracker.accept(announce("a", 2))
+    assert tracker.current is None
+    assert not tracker.retire("stranger")
+    assert tracker.is_retired("stranger")
 
 
-def test_an_upstream_that_starts_again_under_its_id_is_heard():
-    """An upstream crashes and starts again under the ID that it had.
+def test_upstream_restarted_with_its_id_is_accepted():
+    """An upstream crashes and restarts with the same ID.
 
-    Its counts start anew.  Taken for late announcements of the one before,
-    they would all be dropped, and the upstream would never get work again.
+    Its sequence restarts.  If its announcements were taken for late ones of the crashed
+    incarnation, all would be ignored, and the upstream would get no more requests.
     """
-    book = AnnouncementTracker()
-    book.accept(says("a", 40, born=1000))
-    assert book.accept(says("a", 1, born=2000))
-    assert not book.accept(says("a", 41, born=1000))
-    assert book.current.sequence == 1
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 40, born=1000))
+    assert tracker.accept(announce("a", 1, born=2000))
+    assert not tracker.accept(announce("a", 41, born=1000))
+    assert tracker.current.sequence == 1
 
 
-def test_the_leaving_of_the_one_before_does_not_bind_the_next():
-    book = AnnouncementTracker()
-    book.accept(says("a", 5, leaving=True, born=1000))
-    book.retire("a", 1000)
-    assert book.accept(says("a", 1, born=2000))
-    assert not book.current.leaving
-    assert not book.is_retired("a")
+def test_leaving_of_an_incarnation_does_not_apply_to_the_next():
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 5, leaving=True, born=1000))
+    tracker.retire("a", 1000)
+    assert tracker.accept(announce("a", 1, born=2000))
+    assert not tracker.current.leaving
+    assert not tracker.is_retired("a")
 
 
-def test_a_late_goodbye_of_the_one_before_counts_for_nothing():
-    """The goodbye of an incarnation arrives after its successor has spoken.
+def test_late_departure_does_not_retire_the_next_incarnation():
+    """The departure of an incarnation arrives after an announcement of the next.
 
-    Taken for the successor's, it would end work at an upstream that is there.
+    If it were applied to the next one, a running upstream would get no requests.
     """
-    book = AnnouncementTracker()
-    book.accept(says("a", 5, born=1000))
-    book.accept(says("a", 1, born=2000))
-    assert not book.retire("a", 1000)
-    assert book.current.born == 2000
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("a", 5, born=1000))
+    tracker.accept(announce("a", 1, born=2000))
+    assert not tracker.retire("a", 1000)
+    assert tracker.current.born == 2000
 
 
-def test_births_of_two_ids_are_not_compared():
-    """A new upstream has another ID, and a clock that is behind.
+def test_starts_of_different_ids_are_not_compared():
+    """A new upstream with another ID has a clock that is behind.
 
-    It was born earlier by its own clock than the one that it replaces.
+    By that clock it started earlier than the upstream that it replaces.
     """
-    book = AnnouncementTracker()
-    book.accept(says("old", 9, born=9000))
-    assert book.accept(says("new", 1, born=1000))
-    assert book.current.upstream == "new"
+    tracker = AnnouncementTracker()
+    tracker.accept(announce("old", 9, born=9000))
+    assert tracker.accept(announce("new", 1, born=1000))
+    assert tracker.current.upstream == "new"
 
 
 @given(
@@ -110,24 +109,24 @@
         max_size=30,
     )
 )
-def test_no_incarnation_that_is_over_comes_back(events):
-    """Two upstreams start again and again; what they say comes in any order."""
-    book = AnnouncementTracker()
-    over: set[tuple[str, int]] = set()
-    for upstream, sequence, leaving, born, gone in events:
-        before = book.current
-        if gone:
-            book.retire(upstream, born)
-            over.add((upstream, born))
-        elif book.accept(says(upstream, sequence, leaving, born)):
-            assert (upstream, born) not in over
+def test_retired_incarnation_is_never_current_again(events):
+    """Two upstreams restart repeatedly; their messages arrive in any order."""
+    tracker = AnnouncementTracker()
+    retired: set[tuple[str, int]] = set()
+    for upstream, sequence, leaving, born, departed in events:
+        before = tracker.current
+        if departed:
+            tracker.retire(upstream, born)
+            retired.add((upstream, born))
+        elif tracker.accept(announce(upstream, sequence, leaving, born)):
+            assert (upstream, born) not in retired
             if before is not None and (before.upstream, before.born) != (
                 upstream,
                 born,
             ):
-                over.add((before.upstream, before.born))
-        current = book.current
-        assert current is None or (current.upstream, current.born) not in over
+                retired.add((before.upstream, before.born))
+        current = tracker.current
+        assert current is None or (current.upstream, current.born) not in retired
 
 
 @given(
@@ -135,11 +134,11 @@
         st.tuples(st.sampled_from("abc"), st.integers(1, 9), st.booleans()), max_size=30
     )
 )
-def test_the_sequence_of_an_incarnation_only_rises(heard):
-    book = AnnouncementTracker()
+def test_accepted_sequences_of_an_incarnation_increase(announcements):
+    tracker = AnnouncementTracker()
     last: dict[str, int] = {}
-    for upstream, sequence, leaving in heard:
-        if book.accept(says(upstream, sequence, leaving)):
+    for upstream, sequence, leaving in announcements:
+        if tracker.accept(announce(upstream, sequence, leaving)):
             assert sequence > last.get(upstream, 0)
             last[upstream] = sequence
-            assert book.current.upstream == upstream
+            assert tracker.current.upstream == upstream
--- a/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
@@ -1,11 +1,11 @@
-"""Which announcements count."""
+"""Order of announcements: detection of late ones and of ended incarnations."""
 
 from collections import OrderedDict
 
 from rattanfork_core.announcements.announcement import Announcement
 
-#: Upstreams that are remembered, so that late announcements are told.
-_MOST_REMEMBERED = 64
+#: Bound on the retired upstreams that are kept, to detect their late announcements.
+_MAX_RETIRED = 64
 
 
 class AnnouncementTracker:
@@ -14,16 +14,15 @@
     Explanation
     ===========
 
-    Announcements may be late: one sent before the upstream began to leave
-    would bring it back, and one of an incarnation that has crashed would
-    replace its successor at the same address.  Within an incarnation the
-    sequence decides; an incarnation that has been succeeded, or has left,
-    does not come back.
+    Announcements may arrive late.  One sent before the upstream began to leave would
+    revert it to accepting requests, and one of a crashed incarnation would replace its
+    successor at the same address.  Within an incarnation, announcements are ordered by
+    sequence.  An incarnation that has been succeeded, or has left, is retired: its
+    announcements are ignored from then on.
 
-    An upstream may start again under the ID that it had.  Its counts start
-    anew, so of two incarnations of one ID the one that was born later is the
-    newer.  Births of different IDs are never compared: they may come from
-    clocks that disagree, and the later start could look the earlier one.
+    An upstream may restart with the same ID.  Its sequence restarts as well, so of two
+    incarnations with one ID the one with the later start is the newer.  Starts of
+    different IDs are never compared: they may be times of unsynchronised clocks.
 
     Examples
     ========
@@ -45,64 +44,64 @@
 
     def __init__(self) -> None:
         self._current: Announcement | None = None
-        #: The latest birth of each upstream that is over, by its ID.
-        self._over: OrderedDict[str, int] = OrderedDict()
+        #: Latest start of each retired upstream, by its ID.
+        self._retired: OrderedDict[str, int] = OrderedDict()
 
     @property
     def current(self) -> Announcement | None:
-        """The newest announcement that counts; None if there is none."""
+        """The newest announcement; None if no upstream is announced."""
         return self._current
 
     def accept(self, announcement: Announcement) -> bool:
-        """Take in an announcement; return whether it counts."""
+        """Store an announcement if it is the newest; return whether it is."""
         name, born = announcement.upstream, announcement.born
-        if self._is_over(name, born):
+        if self._is_incarnation_retired(name, born):
             return False
         current = self._current
         if current is not None:
             if current.upstream != name:
-                self._close(current.upstream, current.born)
+                self._record_retired(current.upstream, current.born)
             elif (born, announcement.sequence) <= (current.born, current.sequence):
                 return False
         self._current = announcement
         return True
 
     def retire(self, upstream: str, born: int | None = None) -> bool:
-        """Take note that an incarnation has left; return whether it was current.
+        """Record that an incarnation has left; return whether it was the current one.
 
         Parameters
         ==========
 
         upstream : str
-            Its ID.
+            ID of the upstream.
         born : int or None
-            When it started; None for the incarnation that is known, if the
-            upstream does not say.
+            Start of the incarnation; None for the known one, if the upstream does not
+            state it.
         """
         current = self._current
         if current is not None and current.upstream == upstream:
             if born is not None and born < current.born:
-                # The goodbye of the one before its successor was late.
+                # Late message of an incarnation that has already been succeeded.
                 return False
-            self._close(upstream, max(current.born, born or 0))
+            self._record_retired(upstream, max(current.born, born or 0))
             self._current = None
             return True
-        self._close(upstream, born or 0)
+        self._record_retired(upstream, born or 0)
         return False
 
     def is_retired(self, upstream: str) -> bool:
-        """Return whether the newest known incarnation of an ID is over."""
+        """Return whether the newest known incarnation of an ID has been retired."""
         current = self._current
         if current is not None and current.upstream == upstream:
             return False
-        return upstream in self._over
+        return upstream in self._retired
 
-    def _is_over(self, upstream: str, born: int) -> bool:
-        last = self._over.get(upstream)
-        return last is not None and born <= last
+    def _is_incarnation_retired(self, upstream: str, born: int) -> bool:
+        latest = self._retired.get(upstream)
+        return latest is not None and born <= latest
 
-    def _close(self, upstream: str, born: int) -> None:
-        self._over[upstream] = max(born, self._over.get(upstream, 0))
-        self._over.move_to_end(upstream)
-        if len(self._over) > _MOST_REMEMBERED:
-            self._over.popitem(last=False)
+    def _record_retired(self, upstream: str, born: int) -> None:
+        self._retired[upstream] = max(born, self._retired.get(upstream, 0))
+        self._retired.move_to_end(upstream)
+        if len(self._retired) > _MAX_RETIRED:
+            self._retired.popitem(last=False)
--- a/packages/rattanfork-core/rattanfork_core/connections/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Which kept connections may carry another request."""
+"""Reuse of keep-alive connections to an upstream."""
 
 from rattanfork_core.connections.idle_limit import IdleLimit
 
--- a/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
@@ -1,37 +1,36 @@
-"""How long a connection may rest and still be used."""
+"""Maximum idle time of a connection that is reused for a request."""
 
 from rattanfork_core.clock import Clock
 
-#: Part of the time for which an upstream says it keeps a connection: a request
-#: that crosses the upstream's close may have run.
-_KEEP_SHARE = 0.6
-#: Seconds for which an idle connection is used if the upstream states none.
-_KEEP_DEFAULT = 4.0
-#: Seconds after which no connection carries what may run only once.  Something
-#: between the two ends forgets connections after as little as 0.3 s without a
-#: word; a third of that is left for what is shorter still.  An upstream that
-#: gets ten requests a second has a fresher connection at nearly all times, so
-#: few are opened for it.
-_ONCE_REST = 0.1
-#: Part of the rest after which a connection was found dead up to which others
-#: are still used, the least such time, and the seconds in which it doubles
-#: again: what forgets connections may be gone.
+#: Share of the upstream's keep-alive timeout for which an idle connection is used.  A
+#: request sent while the upstream closes the connection may or may not have run.
+_KEEP_ALIVE_SHARE = 0.6
+#: Maximum idle time in seconds if the upstream states no keep-alive timeout.
+_DEFAULT_MAX_IDLE = 4.0
+#: Maximum idle time in seconds for a request that must not run twice.  Devices between
+#: node and upstream drop idle connections after as little as 0.3 s; the limit is a
+#: third of that as a margin.  An upstream that gets ten requests a second nearly always
+#: has a connection idle for less, so few new ones are opened.
+_NON_RETRYABLE_MAX_IDLE = 0.1
+#: Share of the idle time of a stale connection that becomes the limit, and its lower
+#: bound in seconds.
 _STALE_SHARE = 0.5
-_LEAST_REST = 0.05
-_DOUBLES_IN = 10.0
+_MIN_LEARNED = 0.05
+#: Seconds in which a learned limit doubles: what drops connections may be gone.
+_DOUBLING_TIME = 10.0
 
 
 class IdleLimit:
-    """How long a connection to one upstream may rest and still be used.
+    """Decides how long a connection to one upstream may be idle and still be reused.
 
     Explanation
     ===========
 
-    A connection that the other end, or a device between, has forgotten looks
-    whole until something is sent on it; then it is reset, and nobody can say
-    whether the request ran.  A read is sent once more, from a budget.  What
-    may run only once fails, so it never travels on a connection that has
-    rested; for reads the time is learned from the resets that are seen.
+    A connection that the upstream or a device in between has dropped appears open until
+    a request is sent on it.  Then it is reset, and it is unknown whether the request
+    ran.  A retryable request is sent once more, within the retry budget; the limit for
+    such requests is learned from the resets.  A request that must not run twice would
+    fail, so it is sent only on connections that have hardly been idle.
 
     Parameters
     ==========
@@ -61,37 +60,39 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
+        #: Limit learned from the last reset, in seconds.
         self._learned: float | None = None
         self._learned_at = 0.0
 
     def on_stale(self, idle: float) -> None:
-        """Take note that a connection was found dead after a rest in seconds."""
-        self._learned = max(_LEAST_REST, _STALE_SHARE * idle)
+        """Record that a connection was reset on use after an idle time in seconds."""
+        self._learned = max(_MIN_LEARNED, _STALE_SHARE * idle)
         self._learned_at = self._clock.now()
 
     def max_idle(self, keep_alive_timeout: float | None, retryable: bool) -> float:
-        """Return the longest rest of a connection to use.
+        """Return the maximum idle time of a connection to reuse, in seconds.
 
         Parameters
         ==========
 
-        promised : float or None
-            Seconds for which the upstream says it keeps the connection.
-        repeatable : bool
+        keep_alive_timeout : float or None
+            Seconds for which the upstream keeps an idle connection, if it states it.
+        retryable : bool
             Whether the request may be sent again after a reset.
         """
         limit = (
-            _KEEP_DEFAULT
+            _DEFAULT_MAX_IDLE
             if keep_alive_timeout is None
-            else _KEEP_SHARE * keep_alive_timeout
+            else _KEEP_ALIVE_SHARE * keep_alive_timeout
         )
         if self._learned is not None:
-            limit = min(limit, self._learned_now(limit))
-        return limit if retryable else min(limit, _ONCE_REST)
+            limit = min(limit, self._relaxed_limit(limit))
+        return limit if retryable else min(limit, _NON_RETRYABLE_MAX_IDLE)
 
-    def _learned_now(self, enough: float) -> float:
-        doublings = (self._clock.now() - self._learned_at) / _DOUBLES_IN
+    def _relaxed_limit(self, upper_bound: float) -> float:
+        """Return the learned limit now; forget it once it exceeds an upper bound."""
+        doublings = (self._clock.now() - self._learned_at) / _DOUBLING_TIME
         learned = self._learned * 2.0 ** min(doublings, 32.0)
-        if learned >= enough:
+        if learned >= upper_bound:
             self._learned = None
         return learned
--- a/packages/rattanfork-core/rattanfork_core/connections/tests/test_idle_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/tests/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""Connections that were forgotten while they rested."""
+"""Idle connections that were dropped without notice are hardly ever reused."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,29 +7,29 @@
 
 
 @given(st.floats(0.1, 3.0), st.floats(0.01, 2.0))
-def test_reads_soon_avoid_a_rest_that_kills_connections(forgotten_after, gap):
-    """Connections that rested longer than a bound are reset when used.
+def test_limit_for_retryable_requests_is_learned_from_resets(dropped_after, gap):
+    """Connections that are idle for longer than an unknown time are reset on use.
 
-    A read finds out and is sent once more.  After a few of them no connection
-    that has rested so long is used; nobody has to be told the bound.
+    A retryable request is then sent once more.  After a few resets no connection that
+    was idle for so long is reused.
     """
     limit = IdleLimit(ManualClock())
     resets = 0
-    for rested in [4.0, 3.0, 2.0, 1.0, gap] * 10:
-        used = rested <= limit.max_idle(5.0, retryable=True)
-        if used and rested > forgotten_after:
+    for idle in [4.0, 3.0, 2.0, 1.0, gap] * 10:
+        reused = idle <= limit.max_idle(5.0, retryable=True)
+        if reused and idle > dropped_after:
             resets += 1
-            limit.on_stale(rested)
+            limit.on_stale(idle)
     assert resets <= 7
 
 
-def test_what_may_run_once_never_waits_for_a_reset_to_learn():
+def test_limit_for_non_retryable_requests_is_low_without_any_reset():
     limit = IdleLimit(ManualClock())
     assert limit.max_idle(None, retryable=False) < 0.3
     assert limit.max_idle(0.1, retryable=False) <= 0.06
 
 
-def test_what_was_learned_is_forgotten():
+def test_learned_limit_expires():
     clock = ManualClock()
     limit = IdleLimit(clock)
     limit.on_stale(0.4)
