--- a/packages/rattanfork-core/rattanfork_core/routing/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which instance of a service gets a call."""
+"""Load balancing: choice of the instance that a call is sent to."""
 
 from rattanfork_core.routing.instance import InstanceState
 from rattanfork_core.routing.picker import InstancePicker
--- a/packages/rattanfork-core/rattanfork_core/routing/picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/picker.py
@@ -1,4 +1,4 @@
-"""Choice of an instance for a call."""
+"""Load balancer over the instances of one service."""
 
 from collections.abc import Iterable
 from math import inf
@@ -8,67 +8,66 @@
 from rattanfork_core.routing.instance import InstanceState
 from rattanfork_core.routing.subset import choose_subset
 
-#: Latency assumed of an instance that has not answered yet, in seconds.
+#: Latency in seconds assumed of an instance without a reply so far.
 _UNKNOWN_LATENCY = 0.01
-#: An instance of another data centre counts as this much busier.
+#: Factor on the score of an instance in another data centre.
 _REMOTE_FACTOR = 1.5
-_COLD_SHARE = 0.1
-#: An instance whose upstream is impaired counts as this much busier once the others
-#: have no room; until then it is left out.
+#: Lower bound of the divisor that raises the score of a new instance.
+_MIN_WARMUP_SHARE = 0.1
+#: Factor on the score of an instance whose upstream is impaired.  It applies once the
+#: others have no room; until then such an instance is excluded.
 _IMPAIRED_FACTOR = 4.0
-#: Latency, as a multiple of the fastest instance's, from which an instance is
-#: taken to be in trouble.  Instances of one service differ by a factor of two
-#: and a half when all is well.
-_MUCH_SLOWER = 3.5
-#: Recent share of failures from which an instance is compared with all; one
-#: failure among answers stays below it after four more of them.
-_SOME_FAILURES = 0.08
-
-
-#: Mean latencies within which nearly all runs of an operation end: one in 26 takes
-#: longer where lengths spread log-normally by 0.8.  At four more requests left their
-#: data centre, for bytes that cost more than what they saved.
-_TAIL = 3.0
-#: Seconds for which the latency of an operation at an instance is believed.  One
-#: that was slow for a while is tried again by each node after that.
-_BELIEVED_FOR = 5.0
-#: Load up to which an instance is preferred for being fast.
-_ROOM = 0.7
-#: Latency, as a multiple of the fastest instance's, that counts as about as fast.
-_ABOUT_AS_FAST = 1.5
+#: Latency, as a multiple of the fastest instance's, above which an instance is not
+#: preferred for being local.  Healthy instances of one service differ by up to 2.5.
+_MAX_LOCAL_SLOWDOWN = 3.5
+#: Failure rate from which an instance is preferred neither for being local nor for
+#: being fast.  After a single failure the rate is below it again after four successes.
+_MAX_PREFERRED_FAILURE_RATE = 0.08
+#: Mean latencies within which nearly all runs of an operation end: all but one in 26 if
+#: durations are log-normal with a sigma of 0.8.  With a factor of 4, more calls went to
+#: other data centres, whose traffic cost more than the avoided time-outs.
+_TIMEOUT_MEANS = 3.0
+#: Seconds for which the latency of an operation at an instance is used.  Afterwards
+#: each node tries an instance again that was slow.
+_LATENCY_MAX_AGE = 5.0
+#: Load below which an instance has room for calls that avoid others.
+_MAX_LOAD = 0.7
+#: Latency, as a multiple of the fastest instance's, up to which an instance counts as
+#: equally fast.
+_SIMILAR_LATENCY = 1.5
 
 
 class InstancePicker:
-    """Chooses among the instances of one service.
+    """Picks an instance of a service for each call.
 
     Explanation
     ===========
 
-    Of two instances drawn at random the one with the lower score is taken.
-    The score is calls in flight times recent latency, so that a slow
-    instance gets less without any health endpoint being asked; failures make
-    it worse, and so does being in another data centre, by a factor rather
-    than absolutely: the own data centre is preferred until it is the worse
-    choice.  A new instance is drawn rarely at first and more with its age.
+    Of two instances drawn at random the one with the lower score is picked (power of
+    two choices).  The score is the number of calls in flight per slot times the
+    latency, so a slow instance gets fewer calls without health checks.  Failures raise
+    the score, and so does another data centre.  The latter is a factor, so instances of
+    the own data centre are preferred only until they are the worse choice.  The score
+    of a new instance is raised during its warm-up.
 
     Parameters
     ==========
 
     node : str
-        The node that chooses; decides its subset.
+        Name of this node; determines its subset of the instances.
     data_centre : str
-        Where the node is.
+        Data centre of this node.
     clock : Clock
         Source of the current time.
     random : Random
-        Seeded source of the draws.
+        Source of random draws.
     subset_size : int
-        Most instances that calls are spread over.
+        Maximum number of instances that this node sends to.
     warmup : float
-        Seconds until a new instance gets its full share.
+        Seconds until a new instance gets its full share of calls.
     local_load_limit : float
-        Load up to which an instance of the own data centre is taken without
-        being compared with others; 0 compares always.
+        Load below which instances of the own data centre are picked without a
+        comparison with those of others; 0 always compares all.
 
     Examples
     ========
@@ -98,7 +97,7 @@
         self._random = random
         self._subset_size = subset_size
         self._warmup = warmup
-        self._local_load = local_load_limit
+        self._local_load_limit = local_load_limit
         self._states: dict[str, InstanceState] = {}
         self._subset: list[InstanceState] = []
 
@@ -109,22 +108,22 @@
 
     @property
     def subset(self) -> list[InstanceState]:
-        """The instances that calls are spread over."""
+        """The instances that this node sends to."""
         return self._subset
 
     @property
     def slowest_latency(self) -> float:
-        """Recent latency of the slowest instance in seconds; 0 while unknown."""
+        """Latency of the slowest instance in seconds; 0 while unknown."""
         return max((state.latency for state in self._subset), default=0.0)
 
     @property
     def fastest_latency(self) -> float:
-        """Recent latency of the fastest instance in seconds; 0 while unknown."""
+        """Latency of the fastest instance in seconds; 0 while unknown."""
         known = [state.latency for state in self._subset if state.latency]
         return min(known, default=0.0)
 
     def update(self, instances: Iterable[InstanceState]) -> None:
-        """Take in the instances that are alive, keeping what is known."""
+        """Replace the instances by those that are alive, and keep their statistics."""
         states: dict[str, InstanceState] = {}
         for new in instances:
             known = self._states.get(new.name)
@@ -135,24 +134,24 @@
             else:
                 states[new.name] = new
         self._states = states
-        open_names = [s.name for s in states.values() if not s.leaving]
-        names = choose_subset(self._node, open_names, self._subset_size)
+        accepting = [s.name for s in states.values() if not s.leaving]
+        names = choose_subset(self._node, accepting, self._subset_size)
         self._subset = [states[name] for name in names]
 
     def pick(
         self, excluded: frozenset[str], operation: str = "", timeout: float = inf
     ) -> str | None:
-        """Return an instance, or None if all are to be avoided.
+        """Return the name of an instance, or None if all are excluded.
 
         Parameters
         ==========
 
-        avoid : frozenset of str
-            Instances that are out of the question.
+        excluded : frozenset of str
+            Instances that must not be picked.
         operation : str
-            What is called, if its latencies are known by instance.
-        patience : float
-            Seconds after which the call is given up.
+            Operation that is called, if latencies are recorded by operation.
+        timeout : float
+            Seconds after which the caller abandons the call.
         """
         candidates = self._subset
         if excluded:
@@ -160,77 +159,77 @@
         if not candidates:
             return None
         healthy = [s for s in candidates if not s.suspect]
-        # If all are suspect the fault is more likely on this side.
+        # If all are suspect, the fault is more likely this node or its network.
         candidates = healthy or candidates
-        candidates = self._sound(candidates) or candidates
+        candidates = self._unimpaired(candidates) or candidates
         if timeout < inf:
-            candidates = self._quick(candidates, operation, timeout)
-        if self._local_load:
+            candidates = self._fast(candidates, operation, timeout)
+        if self._local_load_limit:
             candidates = self._local(candidates) or candidates
         return self._pick_two(candidates).name
 
-    def _sound(self, candidates: list[InstanceState]) -> list[InstanceState]:
+    def _unimpaired(self, candidates: list[InstanceState]) -> list[InstanceState]:
         """Return the instances that are not impaired and have room.
 
-        Were those that are impaired left out whatever the others' load, their work
-        would fill up a service that has little room, and all of it would shed.
+        If there are none, the caller compares all: impaired instances are avoided only
+        while others have room.  Otherwise their load could fill a service with little
+        spare capacity, and all of its gates would shed.
         """
         now = self._clock.now()
         if all(s.impaired_until <= now for s in candidates):
             return candidates
-        return [s for s in candidates if s.impaired_until <= now and s.load < _ROOM]
+        return [s for s in candidates if s.impaired_until <= now and s.load < _MAX_LOAD]
 
-    def _quick(
-        self, candidates: list[InstanceState], operation: str, patience: float
+    def _fast(
+        self, candidates: list[InstanceState], operation: str, timeout: float
     ) -> list[InstanceState]:
-        """Return the instances at which a call hardly ever runs out of time.
+        """Return the instances at which a call hardly ever times out.
 
-        Where calls are given up after a few times what they take, the slower
-        instances of a service fail several times as many of them as the
-        faster, while these have room: with runs of very unequal length, one in
-        35 at an instance that is 0.6 times as fast as the mean, and one in 630
-        at one that is 1.4 times as fast.
+        If the time-out is a few times the mean latency, several times as many calls
+        time out at the slower instances of a service as at the faster ones, while the
+        faster ones have room.  With runs of very unequal duration it is one in 35 at an
+        instance 0.6 times as fast as the mean, and one in 630 at one 1.4 times as fast.
 
-        Only those that are known to be slow are left out, until they have not
-        been heard for a while.  Calls that only test the others would be most of
-        all where a node makes few.
+        Only instances known to be slow are excluded, and only until their latency is
+        too old.  Instances of unknown latency are not called just to measure it: where
+        a node makes few calls, most would be such probes.
         """
-        enough = patience / _TAIL
+        max_mean = timeout / _TIMEOUT_MEANS
         now = self._clock.now()
         latencies = [
-            s.expected_operation_latency(operation, now, _BELIEVED_FOR)
+            s.expected_operation_latency(operation, now, _LATENCY_MAX_AGE)
             for s in candidates
         ]
-        if max(latencies) <= enough:
+        if max(latencies) <= max_mean:
             return candidates
-        roomy = [
+        preferred = [
             (s, latency)
             for s, latency in zip(candidates, latencies, strict=True)
-            if s.load < _ROOM and s.failure_rate < _SOME_FAILURES
+            if s.load < _MAX_LOAD and s.failure_rate < _MAX_PREFERRED_FAILURE_RATE
         ]
-        fastest = min((latency for _, latency in roomy), default=0.0)
-        most = max(enough, _ABOUT_AS_FAST * fastest)
-        return [s for s, latency in roomy if latency <= most] or candidates
+        fastest = min((latency for _, latency in preferred), default=0.0)
+        limit = max(max_mean, _SIMILAR_LATENCY * fastest)
+        return [s for s, latency in preferred if latency <= limit] or candidates
 
     def _local(self, candidates: list[InstanceState]) -> list[InstanceState]:
-        """Return the instances of the own data centre that have room.
+        """Return the healthy instances of the own data centre that have room.
 
-        An answer that crosses data centres is paid for in bytes and time, and
-        an instance with free slots serves no faster for being less busy.  One
-        that is much slower than the others, that fails or that is new is
-        compared with all.
+        A call to another data centre costs traffic and latency, and an instance with
+        free slots is no faster for being less loaded.  If no local instance qualifies,
+        all are compared; one that is much slower than the others, fails or is in its
+        warm-up does not qualify.
         """
         now = self._clock.now()
         fastest = min((s.latency for s in candidates if s.latency), default=0.0)
-        slow = _MUCH_SLOWER * fastest
+        max_latency = _MAX_LOCAL_SLOWDOWN * fastest
         return [
             s
             for s in candidates
             if s.data_centre == self._data_centre
-            and s.load < self._local_load
-            and s.failure_rate < _SOME_FAILURES
+            and s.load < self._local_load_limit
+            and s.failure_rate < _MAX_PREFERRED_FAILURE_RATE
             and s.impaired_until <= now
-            and (not slow or s.expected_latency(now) <= slow)
+            and (not max_latency or s.expected_latency(now) <= max_latency)
             and now - s.known_since >= self._warmup
         ]
 
@@ -239,10 +238,10 @@
         return frozenset(s.name for s in self._subset if s.data_centre != data_centre)
 
     def pick_weighted(self, count: int) -> list[str]:
-        """Return instances for work to be sent later, spread by slots.
+        """Return instances for calls to be made later, drawn in proportion to slots.
 
-        What is in flight now says nothing about later, and keys issued
-        together must not all end at the instance that is idle at the moment.
+        The calls in flight now do not predict the load then, and idempotency keys
+        issued together must not all be assigned to the instance that is idle now.
         """
         healthy = [s for s in self._subset if not s.suspect] or self._subset
         if not healthy:
@@ -271,5 +270,5 @@
             score *= _IMPAIRED_FACTOR
         age = now - state.known_since
         if age < self._warmup:
-            score /= max(_COLD_SHARE, age / self._warmup)
+            score /= max(_MIN_WARMUP_SHARE, age / self._warmup)
         return score / max(1, state.slots)
--- a/packages/rattanfork-core/rattanfork_core/routing/subset.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/subset.py
@@ -1,4 +1,4 @@
-"""The part of a service's instances that a node sends to."""
+"""Subset of a service's instances that a node sends to."""
 
 from collections.abc import Iterable
 
@@ -11,10 +11,10 @@
     Explanation
     ===========
 
-    At full size every node would otherwise keep a connection to every
-    instance of every service it calls.  By rendezvous hashing the subset
-    changes by one when one instance comes or goes, and nodes choose
-    differently, so that all instances get their share.
+    The subset bounds the connections of a node, which would otherwise keep one to every
+    instance of every service that it calls.  With rendezvous hashing the subset changes
+    by at most one instance when one is added or removed, and each node has a different
+    subset, so all instances get a similar share of the calls.
 
     Examples
     ========
