--- a/packages/rattanfork-core/rattanfork_core/gate_status/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/__init__.py
@@ -1,4 +1,14 @@
-"""Thresholds of other guards, heard on replies and from the fleet."""
+"""Admission thresholds and upstream health that gates report to other nodes.
+
+Explanation
+===========
+
+A *gate* is the admission control that a node runs in front of its upstream.  Each
+request has a *rank* in ``[0, RANKS)``; requests of higher rank are shed first.  A gate
+sheds every rank from its *threshold* on, as a service in DAGOR sheds from its admission
+level on.  Other nodes learn the threshold from replies and by gossip, and use it before
+a request is forwarded: to shed it early, or to pick another instance.
+"""
 
 from rattanfork_core.gate_status.call_chain import CallChainThresholds
 from rattanfork_core.gate_status.dependencies import OperationDependencies
@@ -13,13 +23,13 @@
 from rattanfork_core.gate_status.upstream_health import UpstreamHealth
 
 __all__ = [
-    "OperationDependencies",
     "CallChainThresholds",
     "EarlyShedder",
+    "GateReport",
     "GateReportTable",
-    "ThresholdCache",
     "MAX_REPORTERS",
+    "OperationDependencies",
     "ReportsByService",
+    "ThresholdCache",
     "UpstreamHealth",
-    "GateReport",
 ]
--- a/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
@@ -1,4 +1,4 @@
-"""The threshold of the whole chain of services behind an operation."""
+"""Lowest admission threshold along the call chain of an operation."""
 
 from collections.abc import Callable
 
@@ -8,25 +8,25 @@
 
 
 class CallChainThresholds:
-    """Tells a first node which rank the services behind an operation would shed.
+    """Computes the rank from which a request would be shed somewhere downstream.
 
     Explanation
     ===========
 
-    The pattern: a service three levels down sheds a third of its calls.  Nearly
-    every chain that is let in breaks there, after two thirds of its work was done.
-    The lowest threshold along the chain says what would get through, so what would
-    not is refused before any work.
+    If a service three levels down sheds a third of its calls, nearly every request
+    that makes several of them fails there, after two thirds of its work is done.  A
+    request whose rank is below the lowest threshold along the call chain gets through;
+    the entry node sheds the others before any work is done.
 
     Parameters
     ==========
 
     reports : GateReportTable
-        What the gates of the fleet tell.
-    reach : OperationDependencies
-        Services behind each operation.
+        Thresholds reported by the gates of all services.
+    dependencies : OperationDependencies
+        Services that each operation calls, at any depth.
     instances : callable
-        Returns how many instances a service has.
+        Returns the number of instances of a service.
 
     Examples
     ========
@@ -46,22 +46,22 @@
     def __init__(
         self,
         reports: GateReportTable,
-        reach: OperationDependencies,
+        dependencies: OperationDependencies,
         instances: Callable[[str], int],
     ) -> None:
         self._reports = reports
-        self._reach = reach
+        self._dependencies = dependencies
         self._instances = instances
 
     def threshold(self, operation: str, service: str) -> float:
-        """Return the rank from which the operation's chain would be broken."""
+        """Return the lowest threshold of the service and its dependencies."""
         if not len(self._reports):
             return float(RANKS)
         return min(self.thresholds_by_service(operation, service).values())
 
     def thresholds_by_service(self, operation: str, service: str) -> dict[str, float]:
-        """Return the thresholds along the chain, by service."""
-        services = (service, *self._reach.services(operation))
+        """Return the thresholds of the service and of the operation's dependencies."""
+        services = (service, *self._dependencies.services(operation))
         return {
             name: round(self._reports.service_threshold(name, self._instances(name)), 3)
             for name in services
--- a/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
@@ -1,31 +1,32 @@
-"""Which services the runs of an operation reach."""
+"""Services that an operation depends on, learned from its runs."""
 
 from collections.abc import Iterable
 
-#: Weight of one run in the share of runs that reach a service.
-_WEIGHT = 0.1
-#: Share of the runs from which a service counts as reached: runs that call it now
-#: and then may well do without it this time.
-_REACHED = 0.3
-#: Operations and services that are kept; both come from the configuration.
-_MOST_OPERATIONS = 4096
-_MOST_SERVICES = 32
+#: Weight of the latest run in the moving average of runs that reach a service.
+_SMOOTHING = 0.1
+#: Share of runs from which a service counts as a dependency.  Runs that call it only
+#: occasionally may well succeed without it.
+_MIN_SHARE = 0.3
+#: Bounds on memory; operations and services both come from the configuration.
+_MAX_OPERATIONS = 4096
+_MAX_SERVICES_PER_OPERATION = 32
 
 
 class OperationDependencies:
-    """Services that runs of an operation reach, at any depth, learned from runs.
+    """Learns which services the runs of an operation call, at any depth.
 
     Explanation
     ===========
 
-    Nobody declares what a service calls.  Each gate sees the calls of its own
-    upstream's runs, and each reply brings what the callee has learned, so that a
-    first node knows the whole chain behind an operation after a few replies.  It
-    changes with the services' code and the operator's routes, not with load, so it
-    is as good when requests are few.
+    No configuration declares which services a service calls.  Each gate observes the
+    calls that its own upstream makes during a run, and each reply carries the services
+    that the callee has learned, so an entry node (the one that receives a caller's
+    request) knows the whole call chain of an operation after a few replies.  The
+    dependencies change with deployments and with the operator's routes, not with load,
+    so they stay valid while there are few requests.
 
-    Only runs that ended well teach: one that failed half-way has not reached the
-    rest.
+    Only successful runs are recorded: a run that fails half-way has not made the
+    remaining calls.
 
     Examples
     ========
@@ -40,29 +41,29 @@
 
     def __init__(self) -> None:
         self._shares: dict[str, dict[str, float]] = {}
-        self._reached: dict[str, tuple[str, ...]] = {}
+        self._services: dict[str, tuple[str, ...]] = {}
 
     def record_run(self, operation: str, services: Iterable[str]) -> None:
-        """Take in the services that a run which ended well has reached."""
-        seen = set(services)
+        """Record the services that a successful run has called."""
+        called = set(services)
         shares = self._shares.get(operation)
         if shares is None:
-            if not seen:
+            if not called:
                 return
-            if len(self._shares) >= _MOST_OPERATIONS:
+            if len(self._shares) >= _MAX_OPERATIONS:
                 self._shares.clear()
-                self._reached.clear()
-            shares = self._shares[operation] = dict.fromkeys(seen, 1.0)
-        for service in seen - shares.keys():
-            if len(shares) < _MOST_SERVICES:
+                self._services.clear()
+            shares = self._shares[operation] = dict.fromkeys(called, 1.0)
+        for service in called - shares.keys():
+            if len(shares) < _MAX_SERVICES_PER_OPERATION:
                 shares[service] = 0.0
         for service, share in list(shares.items()):
-            share += _WEIGHT * ((1.0 if service in seen else 0.0) - share)
+            share += _SMOOTHING * ((1.0 if service in called else 0.0) - share)
             shares[service] = share
-        self._reached[operation] = tuple(
-            sorted(s for s, share in shares.items() if share >= _REACHED)
+        self._services[operation] = tuple(
+            sorted(s for s, share in shares.items() if share >= _MIN_SHARE)
         )
 
     def services(self, operation: str) -> tuple[str, ...]:
-        """Return the services that most runs of an operation reach."""
-        return self._reached.get(operation, ())
+        """Return the services that a sufficient share of the runs call, sorted."""
+        return self._services.get(operation, ())
--- a/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -1,24 +1,24 @@
-"""Refusal of what every instance would refuse."""
+"""Early shedding of requests that every instance of a service would shed."""
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status.threshold_cache import ThresholdCache
 from rattanfork_core.request.importance import RANKS
 from rattanfork_core.routing import InstancePicker
 
-#: Seconds for which a threshold heard is believed as it is, ranks by which it
-#: rises in a second after that, and seconds without news after which one
-#: request may test it.  Replies come many times a second while any request
-#: passes; only when none does has the threshold to open by itself.
+#: Seconds for which a reported threshold is used unchanged, ranks by which it then
+#: rises each second, and seconds without a report after which a request may probe it.
+#: Replies come many times a second while any request passes; the threshold has to rise
+#: by itself only when none does.
 _FRESH = 0.4
 _RISE = 1.0
 _PROBE_AFTER = 0.2
-#: Instances named in what is told of a refusal.
-_MOST_TOLD = 8
-_NOBODY: frozenset[str] = frozenset()
+#: Bound on the instances listed in the explanation of a decision.
+_MAX_LISTED_INSTANCES = 8
+_NO_INSTANCES: frozenset[str] = frozenset()
 
 
 class EarlyShedder:
-    """Refuses, before any work is done, what every instance would shed.
+    """Sheds a request before any work is done if every instance would shed it.
 
     Parameters
     ==========
@@ -45,40 +45,44 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._hints = ThresholdCache(clock, _FRESH, _RISE, _PROBE_AFTER)
+        self._thresholds = ThresholdCache(clock, _FRESH, _RISE, _PROBE_AFTER)
 
-    def update(self, operation: str, instance: str, cut: float) -> None:
-        """Take in the threshold that came with a reply."""
-        self._hints.update(operation, instance, cut)
+    def update(self, operation: str, instance: str, threshold: float) -> None:
+        """Store the threshold that came with a reply."""
+        self._thresholds.update(operation, instance, threshold)
 
     def shedding_instances(
         self, picker: InstancePicker, operation: str, rank: float
     ) -> frozenset[str] | None:
         """Return the instances that would shed a rank; None if all would."""
-        hints = self._hints
-        if not len(hints):
-            return _NOBODY
-        blocked = []
-        passing = False
+        thresholds = self._thresholds
+        if not len(thresholds):
+            return _NO_INSTANCES
+        shedding = []
+        admitted = False
         for state in picker.subset:
-            if rank < hints.threshold(operation, state.name):
-                # By time alone a threshold opens to all at once, long before
-                # the first reply tells that it still holds: nearly a third of
-                # the requests to a service that was shut to them were begun,
-                # and failed.  So while the last word shuts a rank out at every
-                # instance, only probes pass.
-                passing |= rank < hints.last_reported(operation, state.name)
+            if rank < thresholds.threshold(operation, state.name):
+                # A threshold that has risen by time alone would admit all requests of
+                # a rank, long before the first reply shows that it still holds: nearly
+                # a third of the requests to a service that shed their rank were
+                # started and failed.  While the last reported thresholds shed the rank
+                # at every instance, only probes pass.
+                admitted |= rank < thresholds.last_reported(operation, state.name)
             elif not state.mostly_failing:
-                blocked.append(state.name)
-        if passing:
-            return frozenset(blocked)
+                shedding.append(state.name)
+        if admitted:
+            return frozenset(shedding)
         for state in picker.subset:
-            if hints.allow_probe(operation, state.name, rank):
+            if thresholds.allow_probe(operation, state.name, rank):
                 return frozenset(s.name for s in picker.subset if s is not state)
         return None
 
     def highest_threshold(
-        self, picker: InstancePicker, operation: str, own: str = "", own_cut: float = 0
+        self,
+        picker: InstancePicker,
+        operation: str,
+        own_instance: str = "",
+        own_threshold: float = 0,
     ) -> float | None:
         """Return the threshold of the instance that sheds least.
 
@@ -86,12 +90,12 @@
         ==========
 
         picker : InstancePicker
-            The instances.
+            The instances of the service.
         operation : str
             Operation that is called.
-        own : str
-            An instance whose threshold is known at first hand, or "".
-        own_cut : float
+        own_instance : str
+            Instance of this node, whose threshold is known exactly, or "".
+        own_threshold : float
             Its threshold.
 
         Returns
@@ -100,26 +104,28 @@
         float or None
             None if all instances mostly fail.
         """
-        cuts = [
-            own_cut
-            if state.name == own
-            else self._hints.threshold(operation, state.name)
+        thresholds = [
+            own_threshold
+            if state.name == own_instance
+            else self._thresholds.threshold(operation, state.name)
             for state in picker.subset
             if not state.mostly_failing
         ]
-        return max(cuts, default=None)
+        return max(thresholds, default=None)
 
     def shed_share(self, picker: InstancePicker, operation: str) -> float:
-        """Return 0 while all is admitted, up to 1 when nothing is."""
-        cuts = [self._hints.threshold(operation, state.name) for state in picker.subset]
-        return 1.0 - max(cuts) / RANKS
+        """Return the share of ranks that all instances shed, from 0 to 1."""
+        thresholds = [
+            self._thresholds.threshold(operation, state.name) for state in picker.subset
+        ]
+        return 1.0 - max(thresholds) / RANKS
 
     def thresholds(
         self, picker: InstancePicker, operation: str
     ) -> dict[str, tuple[float, float]]:
-        """Return thresholds heard and their ages in seconds, by instance."""
-        heard = {
-            state.name: self._hints.threshold_and_age(operation, state.name)
-            for state in picker.subset[:_MOST_TOLD]
+        """Return reported thresholds and their ages in seconds, by instance."""
+        reported = {
+            state.name: self._thresholds.threshold_and_age(operation, state.name)
+            for state in picker.subset[:_MAX_LISTED_INSTANCES]
         }
-        return {name: hint for name, hint in heard.items() if hint is not None}
+        return {name: entry for name, entry in reported.items() if entry is not None}
--- a/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
@@ -1,4 +1,4 @@
-"""What the gates of the fleet tell of themselves."""
+"""Threshold and health reports of gates, disseminated to all nodes by gossip."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,57 +9,58 @@
 from rattanfork_core.hashing import hash64
 from rattanfork_core.request.importance import RANKS
 
+#: Threshold of a gate that sheds nothing.
 _OPEN = float(RANKS)
-#: Parts of a rank in which thresholds travel.
-_PARTS = 50
-#: Gates of one service that tell their thresholds; more say nothing new, and what
-#: travels does not grow with the service.
+#: Units of a threshold in a datagram, per rank.
+_UNITS_PER_RANK = 50
+#: Gates of one service that report their thresholds.  More would add no information,
+#: and the bound keeps the traffic independent of the size of the service.
 MAX_REPORTERS = 16
-#: Share of a service's gates that has to shed a rank before a first node refuses
-#: it: the others still have room, and calls that one gate sheds find them.
-_MOST_SHED = 0.67
-#: Seconds for which a report is believed as it is; several times what news takes
-#: through a fleet of thousands.
+#: Share of a service's gates that have to shed a rank before an entry node sheds it:
+#: below that the other gates have room, and calls that one gate sheds succeed there.
+_MIN_SHEDDING_SHARE = 0.67
+#: Seconds for which a reported threshold is used unchanged: several times what a report
+#: takes to reach all of a fleet of thousands of nodes.
 _FRESH = 1.0
-#: Seconds for which an upstream is taken to be impaired.  One that is sound again is
-#: said to be so at once.
-_IMPAIRED_FOR = 2.5
-#: Ranks by which a threshold rises in a second after that: a first node that is cut
-#: off from all news neither stays shut nor opens to everything at once.
+#: Seconds for which a report of an impaired upstream holds.  Recovery is reported at
+#: once.
+_IMPAIRED_HOLD = 2.5
+#: Ranks by which a stale threshold rises each second: an entry node that receives no
+#: reports neither sheds for ever nor admits everything at once.
 _RISE = 1.0
-#: Seconds after which nothing is left of any report.
-_FORGOTTEN_AFTER = _FRESH + RANKS / _RISE
-#: Seconds for which a gate goes on telling that nothing is wrong any more.
-_SOUND_TOLD_FOR = 2.0
-#: Seconds for which a node passes a report on, and how many times: each node that
-#: hears it does the same, so that six tellings leave out hardly anybody.
-_PASSED_ON_FOR = 1.0
-_TOLD_TIMES = 3
-#: Seconds after which a gate that sheds nothing says again what has not changed.
-_SAID_AGAIN_AFTER = 1.0
-#: Reports in one datagram, the freshest, and those that are kept.  Where a third of a
-#: fleet is impaired, all that is known of it in each datagram would cost more than the
-#: requests do.
-_MOST_TOLD = 16
-_MOST_KEPT = 4096
+#: Seconds after which any threshold has risen to all ranks, and its report is dropped.
+_EXPIRY = _FRESH + RANKS / _RISE
+#: Seconds for which a gate continues to report after its last shedding or impairment.
+_REPORT_RECOVERY_FOR = 2.0
+#: Age in seconds up to which a node forwards a report, and at how many ticks it does.
+#: Every node that receives a report does the same, so 3 ticks with 2 receivers each
+#: leave hardly any node out.
+_FORWARD_FOR = 1.0
+_MAX_FORWARDS = 3
+#: Seconds after which a gate that sheds nothing repeats an unchanged report.
+_REPEAT_AFTER = 1.0
+#: Reports in one datagram, newest first, and reports stored.  If a third of a fleet is
+#: impaired, sending all reports in each datagram would cost more than the requests do.
+_MAX_REPORTS_PER_DATAGRAM = 16
+_MAX_STORED = 4096
 
 
 class GateReport(NamedTuple):
-    """What a gate has said of itself.
+    """Status of a gate, as sent in a datagram.
 
     Parameters
     ==========
 
     gate : int
         Short hash of the gate's member name.
-    number : int
-        Grows with each report of the gate.
+    sequence : int
+        Increases with each report of the gate.
     cut : int
-        Rank from which it sheds, in fiftieths.
+        Threshold of the gate, the rank from which it sheds, in fiftieths of a rank.
     impaired : bool
         Whether its upstream fails or has become slow.
-    age : int
-        Milliseconds since it was said.
+    age_ms : int
+        Milliseconds between the gate's report and the sending of this datagram.
     """
 
     gate: int
@@ -70,7 +71,7 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> "GateReport":
-        """Return the report of a decoded datagram.
+        """Return the report in the decoded fields of a datagram.
 
         Raises
         ======
@@ -79,13 +80,16 @@
             If the fields are not those of a report.
         """
         if not isinstance(fields, tuple) or len(fields) != len(cls._fields):
-            raise ValueError("not a report of a gate")
-        gate, number, cut, impaired, age = fields
+            raise ValueError("gate report: expected a tuple of 5 fields")
+        gate, sequence, cut, impaired, age_ms = fields
         if type(impaired) is not bool:
-            raise ValueError("report of a gate: flag expected")
-        for figure in (gate, number, cut, age):
-            if type(figure) is not int or not 0 <= figure < 1 << 62:
-                raise ValueError("report of a gate: number expected")
+            raise ValueError("gate report: impaired must be a boolean")
+        for number in (gate, sequence, cut, age_ms):
+            if type(number) is not int or not 0 <= number < 1 << 62:
+                raise ValueError(
+                    "gate report: gate, sequence, cut and age must be integers in "
+                    "0..2**62-1"
+                )
         return cls(*fields)
 
 
@@ -94,31 +98,32 @@
 
 
 @dataclass(slots=True)
-class _Known:
-    number: int
+class _StoredReport:
+    sequence: int
     cut: float
     impaired: bool
-    said_at: float
-    #: How many times this node has passed it on.
-    told: int = 0
+    reported_at: float
+    #: How often this node has sent the report to others.
+    forwards: int = 0
 
 
 class GateReportTable:
-    """What this node knows of gates that it may never have sent anything to.
+    """Newest report of each gate, and the reports to forward to other nodes.
 
     Explanation
     ===========
 
-    A node of a large fleet makes few requests, so what its own replies taught it of
-    a deep service is seconds old: it lets in what the deep service then sheds, after
-    all the work above is done, and goes on sending to an upstream that fails.  Here
-    the gates say so themselves, for as long as they shed or their upstream is impaired,
-    and every node passes on to a few others what it has heard.  So a first node knows
-    without a request of its own, and what it costs depends neither on the traffic nor
-    on the size of the fleet; on a calm day it is nothing.
+    A node of a large fleet makes few requests, so the thresholds that it has from
+    replies are seconds old.  It would admit requests that a service at the end of the
+    call chain then sheds, after the work of all others is done, and it would continue
+    to send to an upstream that fails.  Therefore gates report their status while they
+    shed or while their upstream is impaired, and every node forwards the reports that
+    it receives to a few others.  An entry node is thus informed without a request of
+    its own.  The cost per node depends neither on the traffic nor on the size of the
+    fleet, and is zero while no gate sheds and no upstream is impaired.
 
-    Reports age by the clock of who made them: each datagram tells how old they were
-    when it left.
+    Each datagram carries the age of its reports at sending, so no synchronised clocks
+    are needed.
 
     Parameters
     ==========
@@ -147,16 +152,16 @@
     def __init__(self, clock: Clock, me: str) -> None:
         self._clock = clock
         self._me = gate_hash(me)
-        self._known: dict[tuple[str, int], _Known] = {}
-        self._by_service: dict[str, dict[int, _Known]] = {}
-        self._number = 0
-        self._troubled_at: float | None = None
+        self._stored: dict[tuple[str, int], _StoredReport] = {}
+        self._by_service: dict[str, dict[int, _StoredReport]] = {}
+        self._sequence = 0
+        self._not_normal_at: float | None = None
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._stored)
 
     def update_own(self, service: str, cut: float | None, impaired: bool) -> None:
-        """Say how this node's own gate fares; call it several times a second.
+        """Report the status of this node's own gate; called several times a second.
 
         Parameters
         ==========
@@ -164,60 +169,71 @@
         service : str
             Service of the gate's upstream.
         cut : float or None
-            Rank from which it sheds; None if others of its service tell theirs.
+            Rank from which the gate sheds; None if it is not one of the gates of its
+            service that report their thresholds.
         impaired : bool
             Whether its upstream fails or has become slow.
         """
         now = self._clock.now()
         cut = _OPEN if cut is None else cut
         if cut < _OPEN or impaired:
-            self._troubled_at = now
-        if self._troubled_at is None or now - self._troubled_at > _SOUND_TOLD_FOR:
+            self._not_normal_at = now
+        if (
+            self._not_normal_at is None
+            or now - self._not_normal_at > _REPORT_RECOVERY_FOR
+        ):
             return
-        last = self._known.get((service, self._me))
-        if last is not None and _says_the_same(last, cut, impaired, now):
+        last = self._stored.get((service, self._me))
+        if last is not None and _is_repetition(last, cut, impaired, now):
             return
-        self._number += 1
-        self._keep(service, self._me, _Known(self._number, cut, impaired, now))
+        self._sequence += 1
+        self._store(
+            service, self._me, _StoredReport(self._sequence, cut, impaired, now)
+        )
 
     def take_fresh(self) -> dict[str, list[GateReport]]:
-        """Return what is to be told to others now, by service; call it each tick.
+        """Return the reports to send now, by service; called at each gossip tick.
 
-        What was heard since the last few calls is told, and nothing if that is none.
+        Each report is returned by a few calls only; the result is empty if there are
+        no recent reports.
         """
-        if not self._known:
+        if not self._stored:
             return {}
         now = self._clock.now()
-        self._drop_old(now)
+        self._drop_expired(now)
         fresh = sorted(
-            (now - known.said_at, key)
-            for key, known in self._known.items()
-            if known.told < _TOLD_TIMES and now - known.said_at < _PASSED_ON_FOR
+            (now - stored.reported_at, key)
+            for key, stored in self._stored.items()
+            if stored.forwards < _MAX_FORWARDS
+            and now - stored.reported_at < _FORWARD_FOR
         )
-        told: dict[str, list[GateReport]] = {}
-        for age, (service, gate) in fresh[:_MOST_TOLD]:
-            known = self._known[service, gate]
-            known.told += 1
-            cut = round(known.cut * _PARTS)
-            milliseconds = int(age * 1000)
-            report = GateReport(gate, known.number, cut, known.impaired, milliseconds)
-            told.setdefault(service, []).append(report)
-        return told
-
-    def merge(self, told: ReportsByService) -> None:
-        """Take in what another node has told."""
+        reports: dict[str, list[GateReport]] = {}
+        for age, (service, gate) in fresh[:_MAX_REPORTS_PER_DATAGRAM]:
+            stored = self._stored[service, gate]
+            stored.forwards += 1
+            cut = round(stored.cut * _UNITS_PER_RANK)
+            age_ms = int(age * 1000)
+            report = GateReport(gate, stored.sequence, cut, stored.impaired, age_ms)
+            reports.setdefault(service, []).append(report)
+        return reports
+
+    def merge(self, received: ReportsByService) -> None:
+        """Store the reports in a datagram that are newer than the stored ones."""
         now = self._clock.now()
-        for service, reports in told.items():
-            for gate, number, cut, impaired, age in reports:
-                # Numbers begin anew with a gate's process; its name does as well.
-                known = self._known.get((service, gate))
-                if known is None or number > known.number:
-                    said_at = now - age / 1000
-                    known = _Known(number, cut / _PARTS, impaired, said_at)
-                    self._keep(service, gate, known)
+        for service, reports in received.items():
+            for gate, sequence, cut, impaired, age_ms in reports:
+                # Sequences restart with the gate's process, which also changes its
+                # member name, so sequences of two processes are never compared.
+                stored = self._stored.get((service, gate))
+                if stored is None or sequence > stored.sequence:
+                    reported_at = now - age_ms / 1000
+                    stored = _StoredReport(
+                        sequence, cut / _UNITS_PER_RANK, impaired, reported_at
+                    )
+                    self._store(service, gate, stored)
 
     def service_threshold(self, service: str, instances: int) -> float:
-        """Return the rank from which a service sheds.
+        """Return the rank from which most gates of a service shed.
 
         Parameters
         ==========
@@ -225,74 +241,70 @@
         service : str
             The service.
         instances : int
-            How many instances it has; those that say nothing are open.
-
-        Returns
-        =======
-
-        float
-            Rank from which most of its gates shed.
+            Its number of instances; gates without a report count as open.
         """
-        told = self._by_service.get(service)
-        if not told:
+        by_gate = self._by_service.get(service)
+        if not by_gate:
             return _OPEN
         now = self._clock.now()
-        cuts = sorted(_aged(known, now) for known in told.values())
-        reporters = min(max(len(cuts), instances), MAX_REPORTERS)
-        place = ceil(_MOST_SHED * reporters) - 1
-        return cuts[place] if place < len(cuts) else _OPEN
+        thresholds = sorted(_threshold_at(stored, now) for stored in by_gate.values())
+        reporters = min(max(len(thresholds), instances), MAX_REPORTERS)
+        index = ceil(_MIN_SHEDDING_SHARE * reporters) - 1
+        return thresholds[index] if index < len(thresholds) else _OPEN
 
     def gate_state(self, service: str, name: str) -> tuple[float, float]:
-        """Return the rank from which a gate sheds, and until when it is impaired.
+        """Return the threshold of a gate, and until when its upstream is impaired.
 
-        A gate that says nothing is open, and impaired until 0.
+        A gate without a report is open, and its upstream impaired until 0.
         """
-        told = self._by_service.get(service)
-        known = told.get(gate_hash(name)) if told else None
-        if known is None:
+        by_gate = self._by_service.get(service)
+        stored = by_gate.get(gate_hash(name)) if by_gate else None
+        if stored is None:
             return _OPEN, 0.0
-        until = known.said_at + _IMPAIRED_FOR if known.impaired else 0.0
-        return _aged(known, self._clock.now()), until
+        until = stored.reported_at + _IMPAIRED_HOLD if stored.impaired else 0.0
+        return _threshold_at(stored, self._clock.now()), until
 
-    def _keep(self, service: str, gate: int, known: _Known) -> None:
-        if len(self._known) >= _MOST_KEPT and (service, gate) not in self._known:
-            self._drop(next(iter(self._known)))
-        self._known[service, gate] = known
-        self._by_service.setdefault(service, {})[gate] = known
+    def _store(self, service: str, gate: int, stored: _StoredReport) -> None:
+        if len(self._stored) >= _MAX_STORED and (service, gate) not in self._stored:
+            self._drop(next(iter(self._stored)))
+        self._stored[service, gate] = stored
+        self._by_service.setdefault(service, {})[gate] = stored
 
-    def _drop_old(self, now: float) -> None:
-        gone = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             key
-            for key, known in self._known.items()
-            if now - known.said_at > _FORGOTTEN_AFTER
+            for key, stored in self._stored.items()
+            if now - stored.reported_at > _EXPIRY
         ]
-        for key in gone:
+        for key in expired:
             self._drop(key)
 
     def _drop(self, key: tuple[str, int]) -> None:
-        del self._known[key]
+        del self._stored[key]
         service, gate = key
-        told = self._by_service[service]
-        del told[gate]
-        if not told:
+        by_gate = self._by_service[service]
+        del by_gate[gate]
+        if not by_gate:
             del self._by_service[service]
 
 
 def gate_hash(name: str) -> int:
-    """Return the short hash that stands for a gate in what is told.
+    """Return the 16-bit hash that identifies a gate in reports.
 
-    Of the few gates of a service that tell, two share one once in 500 services; they
-    then count as one.
+    Among the few gates of a service that report, two have the same hash in one of 500
+    services; they then count as one gate.
     """
     return hash64(name) & 0xFFFF
 
 
-def _aged(known: _Known, now: float) -> float:
-    stale = now - known.said_at - _FRESH
-    return known.cut if stale <= 0 else min(_OPEN, known.cut + stale * _RISE)
+def _threshold_at(stored: _StoredReport, now: float) -> float:
+    stale_for = now - stored.reported_at - _FRESH
+    return stored.cut if stale_for <= 0 else min(_OPEN, stored.cut + stale_for * _RISE)
 
 
-def _says_the_same(known: _Known, cut: float, impaired: bool, now: float) -> bool:
-    if cut < _OPEN or known.cut < _OPEN or known.impaired != impaired:
+def _is_repetition(
+    stored: _StoredReport, cut: float, impaired: bool, now: float
+) -> bool:
+    if cut < _OPEN or stored.cut < _OPEN or stored.impaired != impaired:
         return False
-    return now - known.said_at < _SAID_AGAIN_AFTER
+    return now - stored.reported_at < _REPEAT_AFTER
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
@@ -1,4 +1,4 @@
-"""A fleet that passes on what a few gates report, without sockets."""
+"""Simulation of the gossip of gate reports, without sockets."""
 
 from random import Random
 
@@ -6,13 +6,14 @@
 from rattanfork_core.gate_status import GateReportTable
 from rattanfork_core.membership import GateNews, encode_gossip
 
+#: Seconds between two gossip ticks of a node.
 TICK = 0.1
-#: Members told at each tick.
-TOLD = 2
+#: Members that a node sends to at each tick.
+FANOUT = 2
 
 
 class GossipSimulation:
-    """Nodes that pass on what a few gates say; datagrams may be lost."""
+    """Nodes that forward the reports of a few gates; datagrams may be lost."""
 
     def __init__(self, nodes: int, gates: int, lost: float = 0.0) -> None:
         self.clock = ManualClock(100.0)
@@ -22,32 +23,32 @@
         self.gates = gates
         self.sent_bytes = 0
 
-    def run(self, seconds: float, cut: float = 2.5) -> None:
-        """Let each node tick at a moment of its own."""
+    def run(self, seconds: float, threshold: float = 2.5) -> None:
+        """Run the simulation; the ticks of the nodes are spread over the interval."""
         order = list(range(len(self.nodes)))
         self.random.shuffle(order)
         for _ in range(round(seconds / TICK)):
-            for place in order:
+            for index in order:
                 self.clock.advance(TICK / len(order))
-                self.tick(place, cut)
-
-    def tick(self, place: int, cut: float) -> None:
-        node = self.nodes[place]
-        if place < self.gates:
-            node.update_own("deep", cut, impaired=False)
-        news = node.take_fresh()
-        if not news:
+                self.tick(index, threshold)
+
+    def tick(self, index: int, threshold: float) -> None:
+        node = self.nodes[index]
+        if index < self.gates:
+            node.update_own("leaf", threshold, impaired=False)
+        reports = node.take_fresh()
+        if not reports:
             return
-        for other in self.random.sample(self.nodes, TOLD):
-            self.sent_bytes += len(encode_gossip(GateNews(news), b"key"))
+        for other in self.random.sample(self.nodes, FANOUT):
+            self.sent_bytes += len(encode_gossip(GateNews(reports), b"key"))
             if self.random.random() >= self.lost:
-                other.merge(news)
+                other.merge(reports)
 
     def report_ages(self) -> list[float]:
-        """Return how old the newest word of each gate is at each node."""
+        """Return the age of the newest report of each gate at each node, sorted."""
         now = self.clock.now()
         return sorted(
-            now - known.said_at
+            now - stored.reported_at
             for node in self.nodes
-            for known in node._by_service["deep"].values()
+            for stored in node._by_service["leaf"].values()
         )
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -1,10 +1,11 @@
-"""A fleet of nodes before a deep service that is asked for more than it can do.
-
-Callers' requests reach first nodes anywhere in the fleet.  Each runs at an upper
-service for a while, whose instances make calls in a row to the deep service; what
-the deep gates shed twice breaks the request.  The decisions are the real ones:
-admission at each deep gate, the choice of an instance, thresholds on replies, and
-what the gates tell the fleet.  Only the time that a run takes is drawn.
+"""Simulation of overload at the leaf of a call chain.
+
+Callers send requests to entry nodes anywhere in the fleet.  An entry node forwards a
+request to an instance of the middle service, which works for a while and then makes
+sequential calls to the leaf service.  A request fails if one of its calls is shed
+twice.  The decisions are made by the production code: admission at each leaf gate, the
+choice of an instance, thresholds on replies, and gossip of gate reports.  Only the
+durations of runs are drawn at random.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,102 +30,108 @@
 )
 from rattanfork_core.routing import InstancePicker, InstanceState
 
-DEEP, UPPER = "deep", "upper"
-DEEP_GATES = 12
+LEAF, MIDDLE = "leaf", "middle"
+LEAF_GATES = 12
 SLOTS = 29
+#: Speeds of the leaf upstreams, relative to the mean.
 SPEEDS = (0.6, 1.0, 1.4)
+#: Mean duration of a call, and its time-out, in seconds.
 CALL_MEAN = 0.13
-CALL_TIME = 0.7
-ATTEMPTS = 2
-#: Bound on repeated arrivals: for each request, and in each window besides.
-RATIO, EXTRA, WINDOW = 0.2, 213.0, 10.0
-#: Refusals of one call after which it is given up, and gates that may deny it.
-MOST_REFUSED, MOST_DENIED = 15, 2
-#: Seconds until an upstream says that it refuses.
-REFUSAL = 0.003
-#: Seconds that a message takes.
-HOP = 0.001
+CALL_TIMEOUT = 0.7
+#: Attempts of a call that gates shed.
+MAX_ATTEMPTS = 2
+#: Retry budget: retries per request, and retries besides in each window in seconds.
+RETRY_RATIO, EXTRA_RETRIES, RETRY_WINDOW = 0.2, 213.0, 10.0
+#: Refusals by upstreams, and retries denied by gates, after which a call fails.
+MAX_REFUSALS, MAX_DENIALS = 15, 2
+#: Seconds that an upstream takes to refuse a call.
+REFUSAL_TIME = 0.003
+#: Network latency in seconds.
+NETWORK_LATENCY = 0.001
 TICK = AdmissionController.TICK
-#: Members told at each tick.
-TOLD = 2
+#: Members that a node sends reports to at each tick.
+FANOUT = 2
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: how often, how important, and what it calls.
+    """A kind of request: its rate, importance and calls.
 
-    ``rate`` is in requests a second, ``before`` the mean seconds of work at the
-    upper service, ``calls`` the calls in each of ``rows`` rows.  One without work
-    before its call goes to the deep service itself.
+    ``rate`` is in requests per second.  ``work`` is the mean duration in seconds of the
+    work at the middle service, after which ``sequences`` parallel sequences of
+    ``calls`` calls each are made to the leaf service.  Without work at the middle
+    service, callers request the leaf service.  ``timeout`` is in seconds.
     """
 
     name: str
     rate: float
     importance: int
-    before: float
+    work: float
     calls: int
-    rows: int = 1
+    sequences: int = 1
     call_mean: float = CALL_MEAN
-    time: float = 3.0
+    timeout: float = 3.0
 
     @property
     def service(self) -> str:
-        """The service that callers ask."""
-        return UPPER if self.before else DEEP
+        """The service that callers send the request to."""
+        return MIDDLE if self.work else LEAF
 
 
 LOOKUP = Kind("lookup", 514.0, 2, 0.6, 4)
-FILING = Kind("filing", 253.0, 0, 0.7, 4, rows=2, time=4.0)
-SEARCH = Kind("search", 168.0, 1, 0.0, 1, call_mean=0.21, time=1.2)
-SURGE = (LOOKUP, FILING, SEARCH)
+FILING = Kind("filing", 253.0, 0, 0.7, 4, sequences=2, timeout=4.0)
+SEARCH = Kind("search", 168.0, 1, 0.0, 1, call_mean=0.21, timeout=1.2)
+OVERLOAD = (LOOKUP, FILING, SEARCH)
 
 
 @dataclass(eq=False)
 class Request:
-    """One caller's request and what became of it."""
+    """A request and its progress."""
 
     kind: Kind
     rank: float
-    first: "Node"
-    upper: "Node"
-    end: float
-    rows_left: int
-    broken: bool = False
-    deep_runs: int = 0
+    entry: "Node"
+    middle: "Node"
+    deadline: float
+    sequences_left: int
+    failed: bool = False
+    leaf_runs: int = 0
 
 
 @dataclass(eq=False)
 class Call:
-    """One call of a row to the deep service."""
+    """A call to the leaf service; the later calls of its sequence reuse the object."""
 
     request: Request
-    left: int
+    calls_left: int
     tried: frozenset[str] = frozenset()
-    shed: int = 0
-    refused: int = 0
-    denied: int = 0
+    sheds: int = 0
+    refusals: int = 0
+    denials: int = 0
     sent_at: float = 0.0
     done: bool = False
 
 
 @dataclass
-class Count:
-    """What became of the requests of one kind, and of the calls made for them."""
+class Outcomes:
+    """Outcomes of the requests of one kind, and runs of the calls made for them."""
 
     sent: int = 0
     refused: int = 0
-    whole: int = 0
+    succeeded: int = 0
     runs: int = 0
-    runs_of_whole: int = 0
+    useful_runs: int = 0
 
 
 class Gate:
-    """A deep gate with its upstream."""
+    """A gate of the leaf service with its upstream."""
 
-    def __init__(self, fleet: "OverloadSimulation", name: str, speed: float) -> None:
-        self.fleet, self.name, self.speed = fleet, name, speed
+    def __init__(
+        self, simulation: "OverloadSimulation", name: str, speed: float
+    ) -> None:
+        self.simulation, self.name, self.speed = simulation, name, speed
         self.admission = AdmissionController(
-            fleet.clock,
+            simulation.clock,
             AdmissionSettings(
                 slots=SLOTS,
                 queue_share=1.5,
@@ -136,166 +143,185 @@
         )
         self.calls: dict[int, tuple[Call, Callable]] = {}
         self.keys = count()
-        self.grants = RepeatGrants(fleet.clock, RATIO, EXTRA, WINDOW)
-        self.grants.share_among(DEEP_GATES)
+        self.retry_grants = RepeatGrants(
+            simulation.clock, RETRY_RATIO, EXTRA_RETRIES, RETRY_WINDOW
+        )
+        self.retry_grants.share_among(LEAF_GATES)
 
     def offer(self, call: Call, done: Callable) -> None:
-        """Take a call; ``done`` gets what became of it."""
-        now = self.fleet.clock.now()
+        """Offer a call to admission; ``done`` receives its outcome."""
+        now = self.simulation.clock.now()
         request = call.request
-        if call.refused and self.fleet.granted_by_gates:
-            if not self.grants.grant(request.rank):
-                self.fleet.after(HOP, lambda: done("denied", self))
+        if call.refusals and self.simulation.gates_grant_retries:
+            if not self.retry_grants.grant(request.rank):
+                self.simulation.after(NETWORK_LATENCY, lambda: done("denied", self))
                 return
-        elif not call.shed:
-            self.grants.count_request()
-        deadline = min(request.end, call.sent_at + CALL_TIME)
+        elif not call.sheds:
+            self.retry_grants.count_request()
+        deadline = min(request.deadline, call.sent_at + CALL_TIMEOUT)
         waiter = Waiter(next(self.keys), request.rank, "call", deadline, now)
         self.calls[waiter.key] = (call, done)
-        self.take(self.admission.offer(waiter))
+        self.apply(self.admission.offer(waiter))
 
     def tick(self) -> None:
-        """Carry admission on."""
-        self.take(self.admission.tick())
+        """Run the periodic work of admission."""
+        self.apply(self.admission.tick())
 
-    def take(self, decisions: Iterable) -> None:
-        """Carry decisions out."""
+    def apply(self, decisions: Iterable) -> None:
+        """Start the admitted calls and reply to those that are shed."""
         for decision in decisions:
             key = decision.waiter.key
             call, done = self.calls.pop(key)
-            if isinstance(decision, Start) and self.fleet.refuses():
-                self.fleet.after(REFUSAL, lambda k=key, d=done: self.refuse(k, d))
+            if isinstance(decision, Start) and self.simulation.refuses():
+                self.simulation.after(
+                    REFUSAL_TIME, lambda k=key, d=done: self.refuse(k, d)
+                )
             elif isinstance(decision, Start):
                 mean = call.request.kind.call_mean / self.speed
-                seconds = mean * self.fleet.random.lognormvariate(-0.125, 0.5)
-                self.fleet.after(seconds, lambda k=key, d=done: self.end(k, d))
+                seconds = mean * self.simulation.random.lognormvariate(-0.125, 0.5)
+                self.simulation.after(
+                    seconds, lambda k=key, d=done: self.complete(k, d)
+                )
             else:
-                self.fleet.after(HOP, lambda d=done: d("shed", self))
+                self.simulation.after(NETWORK_LATENCY, lambda d=done: d("shed", self))
 
-    def end(self, key: int, done: Callable) -> None:
-        """Take note that a run has ended."""
-        self.grants.on_attempt(lost=False)
-        self.take(self.admission.finish(key))
-        self.fleet.after(HOP, lambda: done("ran", self))
+    def complete(self, key: int, done: Callable) -> None:
+        """Complete a run."""
+        self.retry_grants.on_attempt(lost=False)
+        self.apply(self.admission.finish(key))
+        self.simulation.after(NETWORK_LATENCY, lambda: done("ran", self))
 
     def refuse(self, key: int, done: Callable) -> None:
-        """Take note that the upstream refused a run."""
-        self.grants.on_attempt(lost=True)
-        self.take(self.admission.finish(key, succeeded=False))
-        self.fleet.after(HOP, lambda: done("refused", self))
+        """End a run that the upstream refused."""
+        self.retry_grants.on_attempt(lost=True)
+        self.apply(self.admission.finish(key, succeeded=False))
+        self.simulation.after(NETWORK_LATENCY, lambda: done("refused", self))
 
     @property
     def busy(self) -> int:
-        """Calls that wait or run."""
+        """Number of calls that wait or run."""
         return self.admission.running + self.admission.waiting
 
 
 class Node:
-    """What one node knows, and what it decides by."""
+    """State by which one node makes its decisions."""
 
-    def __init__(self, fleet: "OverloadSimulation", name: str) -> None:
-        self.fleet, self.name = fleet, name
-        self.reports = GateReportTable(fleet.clock, name)
+    def __init__(self, simulation: "OverloadSimulation", name: str) -> None:
+        self.simulation, self.name = simulation, name
+        self.reports = GateReportTable(simulation.clock, name)
         self.gate: Gate | None = None
-        self.reach = OperationDependencies()
+        self.dependencies = OperationDependencies()
         self.chain = CallChainThresholds(
-            self.reports, self.reach, lambda service: DEEP_GATES
+            self.reports, self.dependencies, lambda service: LEAF_GATES
         )
-        self.early = EarlyShedder(fleet.clock)
-        self.deeper = EarlyShedder(fleet.clock)
-        share = 0.75 * EXTRA / fleet.size
-        self.budget = RepeatBudget(fleet.clock, 0.9 * RATIO, share, WINDOW)
-        self.picker = InstancePicker(name, "dc", fleet.clock, fleet.random)
-        for kind in SURGE:
-            self.reach.record_run(kind.name, [DEEP] if kind.service == UPPER else [])
+        self.entry_shedder = EarlyShedder(simulation.clock)
+        self.leaf_shedder = EarlyShedder(simulation.clock)
+        share = 0.75 * EXTRA_RETRIES / simulation.size
+        self.budget = RepeatBudget(
+            simulation.clock, 0.9 * RETRY_RATIO, share, RETRY_WINDOW
+        )
+        self.picker = InstancePicker(name, "dc", simulation.clock, simulation.random)
+        for kind in OVERLOAD:
+            self.dependencies.record_run(
+                kind.name, [LEAF] if kind.service == MIDDLE else []
+            )
 
     def tick(self) -> None:
-        """Tell the fleet what is known."""
+        """Update the report of the own gate and forward reports."""
         if self.gate is not None:
-            self.reports.update_own(DEEP, self.gate.admission.cut, impaired=False)
-        news = self.reports.take_fresh()
-        if news:
-            for other in self.fleet.random.sample(self.fleet.nodes, TOLD):
-                self.fleet.after(HOP, lambda o=other: o.reports.merge(news))
-
-    def admits(self, kind: Kind, rank: float, upper: "Node") -> bool:
-        """Return whether a caller's request is begun."""
-        if self.fleet.told and rank >= self.chain.threshold(kind.name, kind.service):
+            self.reports.update_own(LEAF, self.gate.admission.cut, impaired=False)
+        reports = self.reports.take_fresh()
+        if reports:
+            for other in self.simulation.random.sample(self.simulation.nodes, FANOUT):
+                self.simulation.after(
+                    NETWORK_LATENCY, lambda o=other: o.reports.merge(reports)
+                )
+
+    def admits(self, kind: Kind, rank: float, middle: "Node") -> bool:
+        """Return whether an entry node admits a request."""
+        if self.simulation.use_reports and rank >= self.chain.threshold(
+            kind.name, kind.service
+        ):
             return False
         return (
-            self.early.shedding_instances(self.fleet.uppers(self), kind.name, rank)
+            self.entry_shedder.shedding_instances(
+                self.simulation.middle_picker(self), kind.name, rank
+            )
             is not None
         )
 
     def choose(self, call: Call) -> str | None:
-        """Return the deep instance that a call goes to."""
+        """Return the leaf instance for a call, or None if there is none."""
         rank = call.request.rank
         kind = call.request.kind.name
-        shut = self.deeper.shedding_instances(self.picker, kind, rank) or frozenset()
+        excluded = (
+            self.leaf_shedder.shedding_instances(self.picker, kind, rank) or frozenset()
+        )
         names = self.picker.states
-        if self.fleet.told:
-            shedding = {n for n in names if self.reports.gate_state(DEEP, n)[0] <= rank}
-            shut = shut | shedding if len(shedding) < len(names) else shut
-        return self.picker.pick(call.tried | shut) or self.picker.pick(call.tried)
+        if self.simulation.use_reports:
+            reported = {n for n in names if self.reports.gate_state(LEAF, n)[0] <= rank}
+            excluded = excluded | reported if len(reported) < len(names) else excluded
+        return self.picker.pick(call.tried | excluded) or self.picker.pick(call.tried)
 
 
 @dataclass
 class OverloadSimulation:
-    """The fleet, its callers, and what became of their requests.
+    """The fleet, its callers, and the outcomes of their requests.
 
-    ``told`` says whether first nodes use what gates tell the fleet, or only what
-    came with their own replies; ``granted_by_gates`` who decides on repeats: the
-    gates of the deep service, or each node that sends for itself.  From the second
-    ``refusing_from`` on the upstreams refuse a share of what they are sent.
+    With ``use_reports`` nodes use the gossiped gate reports, and otherwise only the
+    thresholds on their own replies.  With ``gates_grant_retries`` the gates of the leaf
+    service grant retries, and otherwise each node has a retry budget.  From second
+    ``refusing_from`` on, the leaf upstreams refuse a share ``refusing`` of their calls.
+    Outcomes are counted from second ``counted_from`` on.
     """
 
     size: int
-    told: bool = True
-    granted_by_gates: bool = True
+    use_reports: bool = True
+    gates_grant_retries: bool = True
     refusing: float = 0.0
     refusing_from: float = 3.0
     seed: int = 1
-    kinds: tuple[Kind, ...] = SURGE
+    kinds: tuple[Kind, ...] = OVERLOAD
     counted_from: float = 3.0
     clock: ManualClock = field(default_factory=lambda: ManualClock(100.0))
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.heap: list = []
-        self.numbers = count()
+        self.events: list = []
+        self.event_numbers = count()
         self.nodes = [Node(self, f"n{i}@b") for i in range(self.size)]
         self.gates: dict[str, Gate] = {}
-        for place, node in enumerate(self.nodes[:DEEP_GATES]):
-            speed = SPEEDS[place % len(SPEEDS)]
+        for index, node in enumerate(self.nodes[:LEAF_GATES]):
+            speed = SPEEDS[index % len(SPEEDS)]
             node.gate = self.gates[node.name] = Gate(self, node.name, speed)
-        self.upper_nodes = self.nodes[DEEP_GATES:] or self.nodes
+        self.middle_nodes = self.nodes[LEAF_GATES:] or self.nodes
         for node in self.nodes:
             node.picker.update(InstanceState(name, "dc", SLOTS) for name in self.gates)
-        self.upper_pickers: dict[str, InstancePicker] = {}
-        self.counts = {kind.name: Count() for kind in self.kinds}
+        self.middle_pickers: dict[str, InstancePicker] = {}
+        self.outcomes = {kind.name: Outcomes() for kind in self.kinds}
 
     def refuses(self) -> bool:
-        """Return whether an upstream refuses what it is sent now."""
+        """Return whether a leaf upstream refuses a call that starts now."""
         if self.clock.now() - self.began < self.refusing_from:
             return False
         return self.random.random() < self.refusing
 
-    def uppers(self, node: Node) -> InstancePicker:
-        """Return a node's choice among the upper instances."""
-        picker = self.upper_pickers.get(node.name)
+    def middle_picker(self, node: Node) -> InstancePicker:
+        """Return a node's picker for the instances of the middle service."""
+        picker = self.middle_pickers.get(node.name)
         if picker is None:
             picker = InstancePicker(node.name, "dc", self.clock, self.random)
-            picker.update(InstanceState(n.name, "dc", 90) for n in self.upper_nodes)
-            self.upper_pickers[node.name] = picker
+            picker.update(InstanceState(n.name, "dc", 90) for n in self.middle_nodes)
+            self.middle_pickers[node.name] = picker
         return picker
 
-    def after(self, seconds: float, work: Callable[[], None]) -> None:
-        """Do something later."""
+    def after(self, seconds: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a delay."""
         at = self.clock.now() + seconds
-        heappush(self.heap, (at, next(self.numbers), work))
+        heappush(self.events, (at, next(self.event_numbers), action))
 
-    def play(self, seconds: float) -> "OverloadSimulation":
-        """Let time pass."""
+    def run(self, seconds: float) -> "OverloadSimulation":
+        """Run the simulation."""
         self.began = self.clock.now()
         until = self.began + seconds
         by_name = {node.name: node for node in self.nodes}
@@ -305,145 +331,149 @@
                 self.random.expovariate(kind.rate), lambda k=kind: self.arrive(k)
             )
         for node in self.nodes:
-            self.every(node.tick)
+            self.every_tick(node.tick)
         for gate in self.gates.values():
-            self.every(gate.tick)
-        while self.heap and self.heap[0][0] <= until:
-            at, _, work = heappop(self.heap)
+            self.every_tick(gate.tick)
+        while self.events and self.events[0][0] <= until:
+            at, _, action = heappop(self.events)
             self.clock.advance(max(0.0, at - self.clock.now()))
-            work()
+            action()
         return self
 
-    def every(self, work: Callable[[], None]) -> None:
-        """Do something ten times a second, from some moment on."""
+    def every_tick(self, action: Callable[[], None]) -> None:
+        """Schedule an action at each tick, with a random phase."""
 
-        def again() -> None:
-            work()
-            self.after(TICK, again)
+        def repeat() -> None:
+            action()
+            self.after(TICK, repeat)
 
-        self.after(self.random.uniform(0, TICK), again)
+        self.after(self.random.uniform(0, TICK), repeat)
 
     @property
     def counting(self) -> bool:
-        """Whether the first seconds, in which all is empty, are over."""
+        """Whether the simulation has left its initial state with empty queues."""
         return self.clock.now() - self.began >= self.counted_from
 
     def arrive(self, kind: Kind) -> None:
-        """Let a caller's request come in somewhere."""
+        """Send a request to a random entry node, and schedule the next of its kind."""
         self.after(self.random.expovariate(kind.rate), lambda: self.arrive(kind))
-        first = self.random.choice(self.nodes)
+        entry = self.random.choice(self.nodes)
         rank = kind.importance + self.random.random()
-        counted = self.counts[kind.name]
+        outcomes = self.outcomes[kind.name]
         if self.counting:
-            counted.sent += 1
-        picker = self.uppers(first)
-        upper = self.by_name[picker.pick(frozenset())]
-        if not first.admits(kind, rank, upper):
+            outcomes.sent += 1
+        picker = self.middle_picker(entry)
+        middle = self.by_name[picker.pick(frozenset())]
+        if not entry.admits(kind, rank, middle):
             if self.counting:
-                counted.refused += 1
+                outcomes.refused += 1
             return
-        end = self.clock.now() + kind.time
-        request = Request(kind, rank, first, upper, end, kind.rows)
-        before = kind.before * self.random.uniform(0.5, 1.5)
-        for _ in range(kind.rows):
-            self.after(before, lambda: self.call(Call(request, kind.calls)))
+        deadline = self.clock.now() + kind.timeout
+        request = Request(kind, rank, entry, middle, deadline, kind.sequences)
+        work = kind.work * self.random.uniform(0.5, 1.5)
+        for _ in range(kind.sequences):
+            self.after(work, lambda: self.call(Call(request, kind.calls)))
 
     def call(self, call: Call) -> None:
-        """Send a call of a row."""
+        """Send a call to a leaf gate."""
         request = call.request
-        if request.broken:
+        if request.failed:
             return
-        name = request.upper.choose(call)
-        if name is None or self.clock.now() > request.end:
-            self.break_off(request)
+        name = request.middle.choose(call)
+        if name is None or self.clock.now() > request.deadline:
+            self.fail(request)
             return
         call.sent_at = self.clock.now()
-        state = request.upper.picker.states[name]
+        state = request.middle.picker.states[name]
         state.on_sent(call.sent_at)
         gate = self.gates[name]
         self.after(
-            HOP,
-            lambda: gate.offer(call, lambda end, at: self.back(call, state, end, at)),
+            NETWORK_LATENCY,
+            lambda: gate.offer(
+                call, lambda outcome, at: self.reply(call, state, outcome, at)
+            ),
         )
-        if not call.shed and not call.refused:
-            request.upper.budget.count_request()
+        if not call.sheds and not call.refusals:
+            request.middle.budget.count_request()
 
-    def back(self, call: Call, state: InstanceState, end: str, gate: Gate) -> None:
-        """Take a gate's reply to a call."""
+    def reply(self, call: Call, state: InstanceState, outcome: str, gate: Gate) -> None:
+        """Process a gate's reply to a call."""
         request = call.request
         now = self.clock.now()
         state.on_done(now, call.sent_at, failed=False)
         state.busy = gate.busy
-        cut = gate.admission.cut
-        request.upper.deeper.update(request.kind.name, gate.name, cut)
-        if end != "ran":
+        threshold = gate.admission.cut
+        request.middle.leaf_shedder.update(request.kind.name, gate.name, threshold)
+        if outcome != "ran":
             call.tried |= {gate.name}
-            if len(call.tried) == DEEP_GATES:
+            if len(call.tried) == LEAF_GATES:
                 call.tried = frozenset()
-            if self.sends_again(call, end):
+            if self.should_retry(call, outcome):
                 self.call(call)
             else:
-                self.break_off(request)
+                self.fail(request)
             return
-        request.upper.budget.on_attempt(lost=False)
-        request.deep_runs += 1
+        request.middle.budget.on_attempt(lost=False)
+        request.leaf_runs += 1
         if self.counting:
-            self.counts[request.kind.name].runs += 1
-        call.left -= 1
+            self.outcomes[request.kind.name].runs += 1
+        call.calls_left -= 1
         call.tried = frozenset()
-        call.shed = call.refused = call.denied = 0
-        if call.left:
+        call.sheds = call.refusals = call.denials = 0
+        if call.calls_left:
             self.call(call)
             return
-        request.rows_left -= 1
-        if not request.rows_left and not request.broken:
-            self.finish(request, whole=True)
-
-    def sends_again(self, call: Call, end: str) -> bool:
-        """Return whether a call that did not run is sent to another gate."""
-        upper, rank = call.request.upper, call.request.rank
-        if end == "shed":
-            call.shed += 1
-            return call.shed < ATTEMPTS
-        if end == "denied":
-            call.denied += 1
-            return call.denied < MOST_DENIED
-        call.refused += 1
-        upper.budget.on_attempt(lost=True)
-        if call.refused > MOST_REFUSED:
+        request.sequences_left -= 1
+        if not request.sequences_left and not request.failed:
+            self.finish(request, succeeded=True)
+
+    def should_retry(self, call: Call, outcome: str) -> bool:
+        """Return whether to retry a call that did not run at another gate."""
+        middle, rank = call.request.middle, call.request.rank
+        if outcome == "shed":
+            call.sheds += 1
+            return call.sheds < MAX_ATTEMPTS
+        if outcome == "denied":
+            call.denials += 1
+            return call.denials < MAX_DENIALS
+        call.refusals += 1
+        middle.budget.on_attempt(lost=True)
+        if call.refusals > MAX_REFUSALS:
             return False
-        return self.granted_by_gates or upper.budget.spend(rank)
-
-    def break_off(self, request: Request) -> None:
-        """Take note that a call of a request came to nothing."""
-        if not request.broken:
-            request.broken = True
-            self.finish(request, whole=False)
-
-    def finish(self, request: Request, whole: bool) -> None:
-        """Give a request its end, and the first node what it tells."""
-        upper, kind = request.upper, request.kind
-        cut = upper.deeper.highest_threshold(upper.picker, kind.name)
-        request.first.early.update(kind.name, upper.name, 5.0 if cut is None else cut)
-        counted = self.counts[kind.name]
-        if whole and self.counting:
-            counted.whole += 1
-            counted.runs_of_whole += request.deep_runs
+        return self.gates_grant_retries or middle.budget.spend(rank)
+
+    def fail(self, request: Request) -> None:
+        """Fail a request of which a call failed."""
+        if not request.failed:
+            request.failed = True
+            self.finish(request, succeeded=False)
+
+    def finish(self, request: Request, succeeded: bool) -> None:
+        """Finish a request, and give the entry node the threshold in the reply."""
+        middle, kind = request.middle, request.kind
+        threshold = middle.leaf_shedder.highest_threshold(middle.picker, kind.name)
+        request.entry.entry_shedder.update(
+            kind.name, middle.name, 5.0 if threshold is None else threshold
+        )
+        outcomes = self.outcomes[kind.name]
+        if succeeded and self.counting:
+            outcomes.succeeded += 1
+            outcomes.useful_runs += request.leaf_runs
 
     @property
-    def useful(self) -> float:
-        """Share of the deep runs that belong to requests answered whole."""
-        runs = sum(c.runs for c in self.counts.values())
-        return sum(c.runs_of_whole for c in self.counts.values()) / runs
+    def useful_share(self) -> float:
+        """Share of the leaf runs that belong to successful requests."""
+        runs = sum(c.runs for c in self.outcomes.values())
+        return sum(c.useful_runs for c in self.outcomes.values()) / runs
 
     @property
-    def used(self) -> float:
-        """Deep runs as a share of what the deep service could do."""
+    def utilisation(self) -> float:
+        """Leaf runs as a share of the capacity of the leaf service."""
         seconds = self.clock.now() - self.began - self.counted_from
-        runs = sum(c.runs for c in self.counts.values())
-        return runs * CALL_MEAN / (seconds * DEEP_GATES * SLOTS)
+        runs = sum(c.runs for c in self.outcomes.values())
+        return runs * CALL_MEAN / (seconds * LEAF_GATES * SLOTS)
 
-    def whole(self, kind: Kind) -> float:
-        """Share of the requests of a kind that were answered whole."""
-        counted = self.counts[kind.name]
-        return counted.whole / counted.sent
+    def success_rate(self, kind: Kind) -> float:
+        """Share of the requests of a kind that succeeded."""
+        outcomes = self.outcomes[kind.name]
+        return outcomes.succeeded / outcomes.sent
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
@@ -1,4 +1,4 @@
-"""What the gates of a service shed is known at every node of the fleet."""
+"""Gate reports reach every node, and entry nodes shed early because of them."""
 
 import pytest
 from hypothesis import given
@@ -19,117 +19,122 @@
 
 
 @pytest.mark.parametrize("size", [12, 194, 300, 1000])
-def test_a_first_node_hears_within_half_a_second_without_any_request(size):
-    """Twelve gates deep down shed; most nodes have nothing to do with them.
+def test_reports_reach_all_nodes_within_half_a_second_without_requests(size):
+    """Twelve gates shed, and most nodes send no requests to their service.
 
-    What they shed is known at every node, half a second old in the middle of the
-    largest fleet at most, and news is there as long as anybody sheds.
+    Every node has a report of each gate, with a median age of less than half a second
+    also in the largest fleet, at a bounded number of bytes sent per node.
     """
-    gossip = GossipSimulation(size, gates=12)
-    gossip.run(2.0)
-    gossip.sent_bytes = 0
-    gossip.run(1.0)
-    ages = gossip.report_ages()
+    simulation = GossipSimulation(size, gates=12)
+    simulation.run(2.0)
+    simulation.sent_bytes = 0
+    simulation.run(1.0)
+    ages = simulation.report_ages()
     assert len(ages) == 12 * size
     assert ages[len(ages) // 2] < 0.5
-    assert gossip.sent_bytes / size < 3500
+    assert simulation.sent_bytes / size < 3500
     if size <= 300:
         assert ages[int(0.9 * len(ages))] < 0.5
 
 
-def test_a_fifth_of_the_datagrams_may_be_lost():
-    gossip = GossipSimulation(194, gates=12, lost=0.2)
-    gossip.run(2.0)
-    ages = gossip.report_ages()
+def test_reports_reach_all_nodes_with_a_fifth_of_datagrams_lost():
+    simulation = GossipSimulation(194, gates=12, lost=0.2)
+    simulation.run(2.0)
+    ages = simulation.report_ages()
     assert len(ages) == 12 * 194
     assert ages[int(0.9 * len(ages))] < 0.8
 
 
-def test_an_end_of_shedding_is_known_as_fast():
-    gossip = GossipSimulation(194, gates=12)
-    gossip.run(2.0)
-    gossip.run(1.0, cut=5.0)
-    assert all(node.service_threshold("deep", 12) == 5.0 for node in gossip.nodes)
+def test_end_of_shedding_reaches_all_nodes_within_a_second():
+    simulation = GossipSimulation(194, gates=12)
+    simulation.run(2.0)
+    simulation.run(1.0, threshold=5.0)
+    assert all(node.service_threshold("leaf", 12) == 5.0 for node in simulation.nodes)
 
 
-def test_nothing_is_sent_while_nobody_sheds():
-    gossip = GossipSimulation(194, gates=12)
-    gossip.run(2.0, cut=5.0)
-    assert gossip.sent_bytes == 0
+def test_no_reports_are_sent_while_no_gate_sheds():
+    simulation = GossipSimulation(194, gates=12)
+    simulation.run(2.0, threshold=5.0)
+    assert simulation.sent_bytes == 0
 
 
-def test_a_node_cut_off_neither_stays_shut_nor_opens_at_once():
-    """The last word is believed for a second; then it opens little by little."""
+def test_threshold_rises_gradually_at_a_node_without_reports():
+    """The last threshold holds for one second and then rises by one rank a second.
+
+    A node cut off from the others neither sheds for ever nor admits all at once.
+    """
     clock = ManualClock()
     node = GateReportTable(clock, "first@b")
-    node.merge({"deep": [GateReport(7, 1, 100, False, 0)]})
+    node.merge({"leaf": [GateReport(7, 1, 100, False, 0)]})
     clock.advance(1.0)
-    assert node.service_threshold("deep", 1) == 2.0
+    assert node.service_threshold("leaf", 1) == 2.0
     clock.advance(0.5)
-    assert node.service_threshold("deep", 1) == 2.5
+    assert node.service_threshold("leaf", 1) == 2.5
     clock.advance(3.0)
-    assert node.service_threshold("deep", 1) == 5.0
+    assert node.service_threshold("leaf", 1) == 5.0
 
 
-def test_a_word_that_comes_late_does_not_replace_a_newer_one():
+def test_late_report_does_not_replace_a_newer_one():
     node = GateReportTable(ManualClock(), "first@b")
-    node.merge({"deep": [GateReport(7, 9, 100, False, 0)]})
-    node.merge({"deep": [GateReport(7, 8, 200, False, 0)]})
-    assert node.service_threshold("deep", 1) == 2.0
+    node.merge({"leaf": [GateReport(7, 9, 100, False, 0)]})
+    node.merge({"leaf": [GateReport(7, 8, 200, False, 0)]})
+    assert node.service_threshold("leaf", 1) == 2.0
 
 
 @given(st.lists(st.floats(0.0, 5.0), min_size=1, max_size=12), st.integers(1, 12))
-def test_a_service_sheds_what_most_of_its_gates_shed(cuts, silent):
-    """A few gates that shed more, or say nothing, decide for nobody else."""
+def test_service_threshold_is_a_rank_that_most_gates_shed(thresholds, silent):
+    """A few gates that shed more, or send no report, do not determine the result."""
     node = GateReportTable(ManualClock(), "first@b")
     node.merge(
         {
-            "deep": [
-                GateReport(gate, 1, round(cut * 50), False, 0)
-                for gate, cut in enumerate(cuts)
+            "leaf": [
+                GateReport(gate, 1, round(threshold * 50), False, 0)
+                for gate, threshold in enumerate(thresholds)
             ]
         }
     )
-    instances = len(cuts) + silent
-    cut = node.service_threshold("deep", instances)
-    shed_by = sum(round(c * 50) / 50 <= cut for c in cuts)
-    assert cut == 5.0 or shed_by >= 0.67 * min(instances, MAX_REPORTERS)
+    instances = len(thresholds) + silent
+    limit = node.service_threshold("leaf", instances)
+    shed_by = sum(round(t * 50) / 50 <= limit for t in thresholds)
+    assert limit == 5.0 or shed_by >= 0.67 * min(instances, MAX_REPORTERS)
 
 
 @pytest.mark.parametrize("size", [12, 194])
-def test_in_a_surge_first_nodes_refuse_what_the_deep_service_would_shed(size):
-    """A surge asks the deepest service for nearly twice what it can do.
+def test_entry_nodes_shed_what_an_overloaded_leaf_service_would_shed(size):
+    """The leaf service receives nearly twice the load that it can serve.
 
-    Of the cheap lookups four in five can't be carried.  They are to be refused
-    where they come in, and not after the work above is done; what matters more is
-    served, and what the deep service does is done for answers that come whole.
+    Four in five of the least important requests, the lookups, can't be served.  They
+    are shed at the entry node, before the middle service works for them.  Requests of
+    higher importance succeed, and nearly all leaf runs belong to successful requests.
     """
-    fleet = OverloadSimulation(size).play(9.0)
-    assert fleet.useful > 0.9
-    assert fleet.whole(FILING) > 0.95
-    assert fleet.whole(SEARCH) > 0.8
-    lookups = fleet.counts[LOOKUP.name]
+    simulation = OverloadSimulation(size).run(9.0)
+    assert simulation.useful_share > 0.9
+    assert simulation.success_rate(FILING) > 0.95
+    assert simulation.success_rate(SEARCH) > 0.8
+    lookups = simulation.outcomes[LOOKUP.name]
     assert lookups.refused > 0.4 * lookups.sent
 
 
-def test_by_its_own_replies_alone_a_large_fleet_would_refuse_nothing():
-    """The pattern that the test before answers: replies are too few to learn from."""
-    fleet = OverloadSimulation(194, told=False).play(6.0)
-    lookups = fleet.counts[LOOKUP.name]
+def test_without_gate_reports_a_large_fleet_sheds_hardly_anything_early():
+    """The fault that gate reports prevent: each node gets too few replies."""
+    simulation = OverloadSimulation(194, use_reports=False).run(6.0)
+    lookups = simulation.outcomes[LOOKUP.name]
     assert lookups.refused < 0.05 * lookups.sent
 
 
 @pytest.mark.parametrize("size", [12, 194])
-def test_repeats_go_to_what_matters_most_while_a_deep_service_refuses(size):
-    """The deep upstreams refuse 55 of 100 calls for as long as the test lasts.
+def test_retries_go_to_the_most_important_requests_while_upstreams_refuse(size):
+    """The leaf upstreams refuse 55 of 100 calls.
 
-    A filing of eight calls needs ten repeats.  There are enough for a fifth of the
-    filings; spread by chance over all that fail, they would carry hardly any.
+    A filing of eight calls needs ten retries.  The budget is enough for a fifth of the
+    filings; spent at random on all failing requests, it would save hardly any.
     """
-    fleet = OverloadSimulation(size, refusing=0.55, refusing_from=8.0, counted_from=8.0)
-    fleet.play(14.0)
-    granted = sum(gate.grants.spent for gate in fleet.gates.values())
-    needed = FILING.rows * FILING.calls * 0.55 / 0.45
-    carried = fleet.counts[FILING.name].whole * needed
-    assert carried > 0.75 * granted
-    assert fleet.whole(SEARCH) > 0.4
+    simulation = OverloadSimulation(
+        size, refusing=0.55, refusing_from=8.0, counted_from=8.0
+    )
+    simulation.run(14.0)
+    granted = sum(gate.retry_grants.spent for gate in simulation.gates.values())
+    needed = FILING.sequences * FILING.calls * 0.55 / 0.45
+    used = simulation.outcomes[FILING.name].succeeded * needed
+    assert used > 0.75 * granted
+    assert simulation.success_rate(SEARCH) > 0.4
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -1,32 +1,33 @@
-"""What this node has heard of other guards' thresholds."""
+"""Cache of the admission thresholds that came with replies."""
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.importance import RANKS
 
+#: Threshold of a gate that sheds nothing.
 _OPEN = float(RANKS)
-#: How far above the cut, in ranks, a probe may be.
-_PROBE_REACH = 0.2
-#: Seconds after which a probe without a reply counts as lost.  Most runs take
-#: less; a longer one only lets a second probe pass.
+#: Largest distance in ranks between the reported threshold and the rank of a probe.
+_PROBE_MARGIN = 0.2
+#: Seconds after which a probe without a reply counts as lost.  Most runs are shorter;
+#: during a longer one a second probe may be sent, which does no harm.
 _PROBE_TIMEOUT = 1.0
 
 
 class ThresholdCache:
-    """Thresholds by operation and instance, aged.
+    """Keeps the last threshold of each operation and instance, and lets it expire.
 
     Explanation
     ===========
 
-    A reply carries the lower of its guard's own cut and the cuts of the
-    deeper services that the operation calls.  This node refuses what the
-    instance would refuse, before any work is done.  A hint is believed for
-    a short time and then rises: a guard whose every request is refused early
-    sends no replies, and its last hint would otherwise hold for ever.
+    A reply carries the lower of the gate's own threshold and the thresholds of the
+    services that the operation calls downstream.  This node sheds what the instance
+    would shed, before any work is done.  A threshold is used unchanged for a short
+    time and then rises: if every request for a gate is shed early, the gate sends no
+    replies, and its last threshold would otherwise hold for ever.
 
-    After a surge few requests pass, so few replies tell that the guard has
-    opened.  A request just above the cut, or below what it has risen to, may
-    therefore pass as a probe: one at a time for each hint, and the next only
-    when the reply was heard.
+    After an overload few requests pass, so few replies report that the gate has
+    opened.  A request just above the reported threshold, or below the value that it
+    has risen to, may therefore pass as a probe.  There is one outstanding probe for
+    each entry, and the next is sent only after its reply or its time-out.
 
     Parameters
     ==========
@@ -34,11 +35,11 @@
     clock : Clock
         Source of the current time.
     fresh : float
-        Seconds for which a hint is believed as it is.
+        Seconds for which a threshold is used unchanged.
     rise : float
-        Ranks by which a stale hint rises each second.
+        Ranks by which a stale threshold rises each second.
     probe_after : float
-        Seconds without news or probe after which a probe may pass.
+        Seconds since the last reply or probe after which a probe may pass.
 
     Examples
     ========
@@ -54,7 +55,7 @@
     5.0
     """
 
-    #: Operations come from URLs and instances come and go.
+    #: Bound on memory: operations come from URLs, and instances come and go.
     MAX_ENTRIES = 20_000
 
     def __init__(
@@ -68,66 +69,72 @@
         self._fresh = fresh
         self._rise = rise
         self._probe_after = probe_after
-        self._probed: dict[tuple[str, str], float] = {}
-        self._hints: dict[tuple[str, str], tuple[float, float]] = {}
+        #: Time of the last probe, by operation and instance.
+        self._probed_at: dict[tuple[str, str], float] = {}
+        #: Reported threshold and time of the report, by operation and instance.
+        self._entries: dict[tuple[str, str], tuple[float, float]] = {}
 
     def __len__(self) -> int:
-        return len(self._hints)
+        return len(self._entries)
 
-    def update(self, operation: str, instance: str, cut: float) -> None:
-        """Take in the cut that came with a reply."""
+    def update(self, operation: str, instance: str, threshold: float) -> None:
+        """Store the threshold that came with a reply."""
         key = (operation, instance)
-        if cut >= _OPEN:
-            self._hints.pop(key, None)
-            self._probed.pop(key, None)
+        if threshold >= _OPEN:
+            self._entries.pop(key, None)
+            self._probed_at.pop(key, None)
             return
-        if len(self._hints) >= self.MAX_ENTRIES and key not in self._hints:
-            oldest = next(iter(self._hints))
-            del self._hints[oldest]
-            self._probed.pop(oldest, None)
-        self._hints[key] = (cut, self._clock.now())
+        if len(self._entries) >= self.MAX_ENTRIES and key not in self._entries:
+            oldest = next(iter(self._entries))
+            del self._entries[oldest]
+            self._probed_at.pop(oldest, None)
+        self._entries[key] = (threshold, self._clock.now())
 
     def threshold(self, operation: str, instance: str) -> float:
-        """Return the rank from which the instance sheds the operation."""
-        hint = self._hints.get((operation, instance))
-        if hint is None:
+        """Return the rank from which the instance is expected to shed the operation."""
+        entry = self._entries.get((operation, instance))
+        if entry is None:
             return _OPEN
-        cut, heard = hint
-        stale = self._clock.now() - heard - self._fresh
-        return cut if stale <= 0 else min(_OPEN, cut + stale * self._rise)
+        reported, reported_at = entry
+        stale_for = self._clock.now() - reported_at - self._fresh
+        return (
+            reported
+            if stale_for <= 0
+            else min(_OPEN, reported + stale_for * self._rise)
+        )
 
     def last_reported(self, operation: str, instance: str) -> float:
-        """Return the cut as it was heard; once it is old, all ranks pass."""
-        hint = self._hints.get((operation, instance))
-        if hint is None or self.threshold(operation, instance) >= _OPEN:
+        """Return the threshold as reported; all ranks pass once it has expired."""
+        entry = self._entries.get((operation, instance))
+        if entry is None or self.threshold(operation, instance) >= _OPEN:
             return _OPEN
-        return hint[0]
+        return entry[0]
 
     def threshold_and_age(
         self, operation: str, instance: str
     ) -> tuple[float, float] | None:
-        """Return the cut that was last heard and its age in seconds, or None."""
-        hint = self._hints.get((operation, instance))
-        if hint is None:
+        """Return the last reported threshold and its age in seconds, or None."""
+        entry = self._entries.get((operation, instance))
+        if entry is None:
             return None
-        cut, heard = hint
-        return round(cut, 3), round(self._clock.now() - heard, 3)
+        reported, reported_at = entry
+        return round(reported, 3), round(self._clock.now() - reported_at, 3)
 
     def allow_probe(self, operation: str, instance: str, rank: float) -> bool:
-        """Return whether a request that would be refused may pass now."""
+        """Return whether a request may pass as a probe; if so, record the probe."""
         key = (operation, instance)
-        hint = self._hints.get(key)
-        if hint is None:
+        entry = self._entries.get(key)
+        if entry is None:
             return True
-        cut, heard = hint
-        if rank > max(cut + _PROBE_REACH, self.threshold(operation, instance)):
+        reported, reported_at = entry
+        if rank > max(reported + _PROBE_MARGIN, self.threshold(operation, instance)):
             return False
         now = self._clock.now()
-        probed = self._probed.get(key, 0.0)
-        awaited = probed > heard
-        if now - max(heard, probed) < (
-            _PROBE_TIMEOUT if awaited else self._probe_after
+        probed_at = self._probed_at.get(key, 0.0)
+        outstanding = probed_at > reported_at
+        if now - max(reported_at, probed_at) < (
+            _PROBE_TIMEOUT if outstanding else self._probe_after
         ):
             return False
-        self._probed[key] = now
+        self._probed_at[key] = now
         return True
--- a/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
@@ -1,49 +1,51 @@
-"""Whether an upstream is impaired, as the gate in front of it sees."""
+"""Failure and slowness detection for an upstream, at the gate in front of it."""
 
 from math import exp
 
 from rattanfork_core.clock import Clock
 
-#: Weight of one run in the share that failed, and seconds in which it halves: who
-#: is led round gets no run that could tell of its recovery.
-_FAILURE_WEIGHT = 0.1
+#: Weight of the latest run in the moving failure rate, and seconds in which the rate
+#: halves: an upstream that other nodes avoid gets no run that could show its recovery.
+_FAILURE_SMOOTHING = 0.1
 _FAILURE_HALF_LIFE = 4.0
-#: Share of failed runs from which an upstream is impaired.  Sound ones fail one run
-#: in hundreds; two failures in a row stay below it.
-_FAILING = 0.2
-#: Most weight of one run in an operation's usual time, and seconds over which it is
-#: averaged: an upstream that turns slow is not usual for a while.
-_USUAL_WEIGHT = 0.05
-_USUAL_MEMORY = 30.0
-#: Runs that have to end before an operation's usual time is known.
-_KNOWN_AFTER = 8
-#: Seconds over which time spent and runs ended are compared.
-_COMPARED = 2.0
-#: Runs that are taken to have ended as usual beside those seen, so that one long
-#: run alone says nothing.
-_PRIOR = 3.0
-#: Multiple of the usual time from which an upstream is slow.  Ends of sound runs
-#: come by chance, and so seldom for a time.
-_SLOW = 3.0
+#: Failure rate from which an upstream is impaired.  Healthy ones fail one run in
+#: hundreds; two failures in a row stay below the limit.
+_MAX_FAILURE_RATE = 0.2
+#: Largest weight of one run in the mean duration of an operation, and seconds over
+#: which the mean is taken, so that a slow upstream does not soon pass for normal.
+_MEAN_MAX_WEIGHT = 0.05
+_MEAN_WINDOW = 30.0
+#: Completed runs after which the mean duration of an operation is used.
+_MIN_RUNS = 8
+#: Time constant in seconds of the sums of time spent and of completed runs.
+_COMPARISON_WINDOW = 2.0
+#: Runs of mean duration that are added to both sums, so that one long run alone does
+#: not make an upstream slow.
+_PRIOR_RUNS = 3.0
+#: Multiple of the mean duration from which an upstream is slow.  Runs of a healthy one
+#: end at random, so for a while few may end.
+_SLOW_FACTOR = 3.0
 #: Seconds for which an upstream that was slow counts as impaired.
-_SLOW_FOR = 3.0
-_MOST_OPERATIONS = 256
+_SLOW_HOLD = 3.0
+#: Bound on memory.
+_MAX_OPERATIONS = 256
 
 
 class UpstreamHealth:
-    """Tells from its runs that an upstream fails or has become slow.
+    """Detects from its runs that an upstream fails or has become slow.
 
     Explanation
     ===========
 
-    A node of a large fleet sends an instance a request now and then, so it takes
-    many failed requests at many nodes until each of them knows.  The gate sees all
-    runs of its upstream and knows within a few of them.
+    A node of a large fleet sends each instance only occasional requests, so many
+    requests would fail at many nodes before each had detected the fault.  The gate sees
+    all runs of its upstream and detects it within a few runs.
 
-    Slow is meant against the upstream's own past: instances of one service differ in
-    speed without anything being wrong.  The time that runs have spent, in units of
-    their usual time, is compared with how many have ended; so runs under way count
-    before they end, whose ends come seconds late at an upstream that turns slow.
+    An upstream is slow in comparison with its own past, as instances of one service
+    differ in speed without a fault.  The time spent by runs, in units of the mean
+    duration of their operation, is compared with the number of completed runs.  Runs in
+    progress therefore count before they end, which at an upstream that turns slow is
+    seconds late.
 
     Parameters
     ==========
@@ -69,50 +71,50 @@
 
     __slots__ = (
         "_clock",
-        "_ended",
-        "_failures",
-        "_failures_at",
-        "_pace",
+        "_completed",
+        "_failure_rate",
+        "_failure_rate_at",
+        "_means",
+        "_rate",
         "_running",
         "_slow_until",
         "_spent",
-        "_then",
-        "_usual",
+        "_updated_at",
     )
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._failures = 0.0
-        self._failures_at = clock.now()
-        #: Operation, start and usual time of each run under way.
+        self._failure_rate = 0.0
+        self._failure_rate_at = clock.now()
+        #: Operation, start and mean duration of the operation, of each run in progress.
         self._running: dict[int, tuple[str, float, float]] = {}
-        #: Usual time of an operation, when last learned, and from how many runs.
-        self._usual: dict[str, tuple[float, float, int]] = {}
-        #: Usual times that the runs under way spend in a second.
-        self._pace = 0.0
-        #: Usual times spent, and runs ended, lately.
+        #: Mean duration, time of its last update and number of runs, by operation.
+        self._means: dict[str, tuple[float, float, int]] = {}
+        #: Mean durations that the runs in progress spend per second.
+        self._rate = 0.0
+        #: Decaying sums of the mean durations spent and of the completed runs.
         self._spent = 0.0
-        self._ended = 0.0
-        self._then = clock.now()
+        self._completed = 0.0
+        self._updated_at = clock.now()
         self._slow_until = 0.0
 
     @property
     def impaired(self) -> bool:
-        """Whether callers should rather ask other instances."""
-        return self._failing_now() > _FAILING or self._slow_now()
+        """Whether callers should prefer other instances."""
+        return self._current_failure_rate() > _MAX_FAILURE_RATE or self._is_slow()
 
     def on_started(self, key: int, operation: str) -> None:
-        """Take note that a run has been handed over."""
-        self._move()
-        usual, _, seen = self._usual.get(operation, (0.0, 0.0, 0))
-        if seen < _KNOWN_AFTER:
-            usual = 0.0
-        if usual:
-            self._pace += 1.0 / usual
-        self._running[key] = (operation, self._clock.now(), usual)
+        """Record that a run has been sent to the upstream."""
+        self._update_sums()
+        mean, _, runs = self._means.get(operation, (0.0, 0.0, 0))
+        if runs < _MIN_RUNS:
+            mean = 0.0
+        if mean:
+            self._rate += 1.0 / mean
+        self._running[key] = (operation, self._clock.now(), mean)
 
     def on_ended(self, key: int, failed: bool, counts: bool = True) -> None:
-        """Take note that a run has ended.
+        """Record that a run has ended.
 
         Parameters
         ==========
@@ -120,56 +122,62 @@
         key : int
             The run.
         failed : bool
-            Whether it came to nothing by the upstream's own fault.
+            Whether it failed through a fault of the upstream.
         counts : bool
-            Whether its end says anything: one that its caller has stopped does not.
+            Whether its outcome shows the upstream's health; that of a run cancelled by
+            its caller does not.
         """
         run = self._running.pop(key, None)
         if run is None:
             return
-        self._move()
-        operation, begun, usual = run
-        if usual:
-            self._pace -= 1.0 / usual
+        self._update_sums()
+        operation, started_at, mean = run
+        if mean:
+            self._rate -= 1.0 / mean
         if not counts:
             return
-        if usual:
-            self._ended += 1.0
-        self._failures = self._failing_now()
-        self._failures += _FAILURE_WEIGHT * ((1.0 if failed else 0.0) - self._failures)
-        self._failures_at = self._then
-        if not failed and not self._slow_now():
-            self._learn(operation, self._then - begun)
-
-    def _failing_now(self) -> float:
-        passed = self._clock.now() - self._failures_at
-        return self._failures * 0.5 ** (passed / _FAILURE_HALF_LIFE)
-
-    def _learn(self, operation: str, seconds: float) -> None:
-        now = self._then
-        usual, learned, seen = self._usual.get(operation, (seconds, now, 0))
-        if not seen and len(self._usual) >= _MOST_OPERATIONS:
-            self._usual.clear()
-        weight = min(_USUAL_WEIGHT, (now - learned) / _USUAL_MEMORY)
-        if seen < _KNOWN_AFTER:
-            weight = 1.0 / (seen + 1)
-        usual += weight * (seconds - usual)
-        self._usual[operation] = (max(usual, 1e-4), now, min(seen + 1, _KNOWN_AFTER))
-
-    def _slow_now(self) -> bool:
-        self._move()
-        if self._spent + _PRIOR > _SLOW * (self._ended + _PRIOR):
-            self._slow_until = self._then + _SLOW_FOR
-        return self._then < self._slow_until
-
-    def _move(self) -> None:
+        if mean:
+            self._completed += 1.0
+        self._failure_rate = self._current_failure_rate()
+        self._failure_rate += _FAILURE_SMOOTHING * (
+            (1.0 if failed else 0.0) - self._failure_rate
+        )
+        self._failure_rate_at = self._updated_at
+        if not failed and not self._is_slow():
+            self._update_mean(operation, self._updated_at - started_at)
+
+    def _current_failure_rate(self) -> float:
+        elapsed = self._clock.now() - self._failure_rate_at
+        return self._failure_rate * 0.5 ** (elapsed / _FAILURE_HALF_LIFE)
+
+    def _update_mean(self, operation: str, duration: float) -> None:
+        now = self._updated_at
+        mean, mean_at, runs = self._means.get(operation, (duration, now, 0))
+        if not runs and len(self._means) >= _MAX_OPERATIONS:
+            self._means.clear()
+        weight = min(_MEAN_MAX_WEIGHT, (now - mean_at) / _MEAN_WINDOW)
+        if runs < _MIN_RUNS:
+            weight = 1.0 / (runs + 1)
+        mean += weight * (duration - mean)
+        self._means[operation] = (max(mean, 1e-4), now, min(runs + 1, _MIN_RUNS))
+
+    def _is_slow(self) -> bool:
+        self._update_sums()
+        if self._spent + _PRIOR_RUNS > _SLOW_FACTOR * (self._completed + _PRIOR_RUNS):
+            self._slow_until = self._updated_at + _SLOW_HOLD
+        return self._updated_at < self._slow_until
+
+    def _update_sums(self) -> None:
+        """Decay the sums and add the time spent since the last update."""
         now = self._clock.now()
-        passed, self._then = now - self._then, now
-        if passed <= 0:
+        elapsed, self._updated_at = now - self._updated_at, now
+        if elapsed <= 0:
             return
-        kept = exp(-passed / _COMPARED)
-        # What is spent evenly over the time that has passed, fading as it goes.
-        self._spent = self._spent * kept + self._pace * _COMPARED * (1.0 - kept)
-        self._ended *= kept
+        decay = exp(-elapsed / _COMPARISON_WINDOW)
+        # Time is spent at a constant rate since the last update, and decays meanwhile.
+        self._spent = self._spent * decay + self._rate * _COMPARISON_WINDOW * (
+            1.0 - decay
+        )
+        self._completed *= decay
         if not self._running:
-            self._pace = 0.0
+            self._rate = 0.0
