--- a/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status.threshold_cache import ThresholdCache
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.routing import InstancePicker
 
 #: Seconds for which a reported threshold is used unchanged, ranks by which it then
@@ -118,7 +118,7 @@
         thresholds = [
             self._thresholds.threshold(operation, state.name) for state in picker.subset
         ]
-        return 1.0 - max(thresholds) / RANKS
+        return 1.0 - max(thresholds) / RANK_LIMIT
 
     def thresholds(
         self, picker: InstancePicker, operation: str
--- a/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
@@ -7,10 +7,10 @@
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.hashing import hash64
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 #: Threshold of a gate that sheds nothing.
-_OPEN = float(RANKS)
+_OPEN = float(RANK_LIMIT)
 #: Units of a threshold in a datagram, per rank.
 _UNITS_PER_RANK = 50
 #: Gates of one service that report their thresholds.  More would add no information,
@@ -29,7 +29,7 @@
 #: reports neither sheds for ever nor admits everything at once.
 _RISE = 1.0
 #: Seconds after which any threshold has risen to all ranks, and its report is dropped.
-_EXPIRY = _FRESH + RANKS / _RISE
+_EXPIRY = _FRESH + RANK_LIMIT / _RISE
 #: Seconds for which a gate continues to report after its last shedding or impairment.
 _REPORT_RECOVERY_FOR = 2.0
 #: Age in seconds up to which a node forwards a report, and at how many ticks it does.
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/gossip_simulation.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import GateReportTable
-from rattanfork_core.membership import GateNews, encode_gossip
+from rattanfork_core.membership import GateUpdate, encode_gossip
 
 #: Seconds between two gossip ticks of a node.
 TICK = 0.1
@@ -40,7 +40,7 @@
         if not reports:
             return
         for other in self.random.sample(self.nodes, FANOUT):
-            self.sent_bytes += len(encode_gossip(GateNews(reports), b"key"))
+            self.sent_bytes += len(encode_gossip(GateUpdate(reports), b"key"))
             if self.random.random() >= self.lost:
                 other.merge(reports)
 
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -48,7 +48,7 @@
 REFUSAL_TIME = 0.003
 #: Network latency in seconds.
 NETWORK_LATENCY = 0.001
-TICK = AdmissionController.TICK
+TICK = AdmissionController.TICK_SECONDS
 #: Members that a node sends reports to at each tick.
 FANOUT = 2
 
@@ -134,8 +134,8 @@
             simulation.clock,
             AdmissionSettings(
                 slots=SLOTS,
-                queue_share=1.5,
-                queue_seconds=0.2,
+                queue_ratio=1.5,
+                queue_delay=0.2,
                 surge_sample=100,
                 warmup=0.0,
                 adaptive=False,
@@ -229,7 +229,7 @@
     def tick(self) -> None:
         """Update the report of the own gate and forward reports."""
         if self.gate is not None:
-            self.reports.update_own(LEAF, self.gate.admission.cut, impaired=False)
+            self.reports.update_own(LEAF, self.gate.admission.threshold, impaired=False)
         reports = self.reports.take_fresh()
         if reports:
             for other in self.simulation.random.sample(self.simulation.nodes, FANOUT):
@@ -402,7 +402,7 @@
         now = self.clock.now()
         state.on_done(now, call.sent_at, failed=False)
         state.busy = gate.busy
-        threshold = gate.admission.cut
+        threshold = gate.admission.threshold
         request.middle.leaf_shedder.update(request.kind.name, gate.name, threshold)
         if outcome != "ran":
             call.tried |= {gate.name}
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -1,10 +1,10 @@
 """Cache of the admission thresholds that came with replies."""
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.request.importance import RANKS
+from rattanfork_core.request.importance import RANK_LIMIT
 
 #: Threshold of a gate that sheds nothing.
-_OPEN = float(RANKS)
+_OPEN = float(RANK_LIMIT)
 #: Largest distance in ranks between the reported threshold and the rank of a probe.
 _PROBE_MARGIN = 0.2
 #: Seconds after which a probe without a reply counts as lost.  Most runs are shorter;
--- a/packages/rattanfork-core/rattanfork_core/membership/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/settings.py
@@ -11,28 +11,29 @@
     ==========
 
     period : float
-        Seconds between two probes.
+        Seconds between two probes (the protocol period of SWIM).
     ack_timeout : float
-        Seconds after which others are asked to probe.
-    helpers : int
-        How many are asked.
-    suspicion : float
-        Periods a suspect has to answer, times the logarithm of the fleet.
-    rumours : int
-        Most rumours of a datagram.
+        Seconds without an ack after which other members are asked to probe.
+    indirect_probes : int
+        Number of members that are asked.
+    suspicion_multiplier : float
+        Protocol periods that a suspect has to refute, as a multiple of the
+        binary logarithm of the fleet size.
+    updates_per_datagram : int
+        Maximum number of membership updates on one datagram.
     push_interval : float
-        Least seconds between two pushes of fresh news.
-    pushes : int
-        How many others fresh news is pushed to.
-    forget_after : float
-        Seconds for which the dead are remembered.
+        Minimum seconds between two pushes of new updates.
+    push_fanout : int
+        Number of members to which new updates are pushed.
+    dead_retention : float
+        Seconds for which records of dead members are kept.
     """
 
     period: float = 1.0
     ack_timeout: float = 0.3
-    helpers: int = 2
-    suspicion: float = 1.5
-    rumours: int = 6
+    indirect_probes: int = 2
+    suspicion_multiplier: float = 1.5
+    updates_per_datagram: int = 6
     push_interval: float = 0.2
-    pushes: int = 2
-    forget_after: float = 600.0
+    push_fanout: int = 2
+    dead_retention: float = 600.0
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -9,7 +9,7 @@
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.gate_status import ThresholdCache
-from rattanfork_core.membership import HeldVersions, Member, Membership, MemberStatus
+from rattanfork_core.membership import CachedVersions, Member, Membership, MemberStatus
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.settings import NodeSettings
 from rattanfork_platform.http import HttpPlatform
@@ -18,18 +18,18 @@
 from rattanfork_node.admin.announcement import Announcement
 from rattanfork_node.app.fleet import FleetView
 from rattanfork_node.app.peers import NodePeerHandler
-from rattanfork_node.config.task import RulesTask
+from rattanfork_node.config.rules_poller import RulesPoller
 from rattanfork_node.edge import Edge
 from rattanfork_node.guard import Guard, UpstreamClient
 from rattanfork_node.ingress import (
-    Directory,
     Dispatcher,
     EpochBook,
     Ingress,
+    InstanceDirectory,
     KeyAssigner,
     KeyIssuer,
 )
-from rattanfork_node.member import MemberTask
+from rattanfork_node.member import GossipTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
 from rattanfork_node.telemetry.metrics import Metrics
@@ -102,7 +102,9 @@
             ready=False,
         )
         self._membership = Membership(self._clock, self._random, me)
-        self._membership.held = lambda: HeldVersions(rules=self._rules.order)
+        self._membership.cached_versions = lambda: CachedVersions(
+            rules=self._rules.order
+        )
         self._guard = Guard(
             self._clock,
             settings.instance,
@@ -134,7 +136,7 @@
                 settings.platform.url, settings.platform.timeout
             )
         seeds = [seed.rsplit(":", 1) for seed in settings.seeds]
-        self._member = MemberTask(
+        self._member = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -144,7 +146,7 @@
             self._counters,
         )
         self._handler.connect(self._member)
-        self._config = RulesTask(
+        self._config = RulesPoller(
             self._clock,
             self._random,
             self._rules,
@@ -154,7 +156,7 @@
             settings.rules,
             self._counters,
             lambda: self._member.newest_rules,
-            self._membership.hasten,
+            self._membership.schedule_push,
         )
         self._metrics = Metrics(
             settings.instance,
@@ -175,13 +177,13 @@
             self._fleet,
             self._on_announcement,
             self.drain,
-            self._config.hasten,
+            self._config.read_soon,
         )
 
     def _make_edge(self) -> None:
         settings = self._settings
         hints = ThresholdCache(self._clock)
-        directory = Directory(self._clock, self._random, self._membership)
+        directory = InstanceDirectory(self._clock, self._random, self._membership)
         epochs = EpochBook(self._clock)
         dispatcher = Dispatcher(
             self._clock,
@@ -308,7 +310,7 @@
             self.drain()
             return
         self._announced = self._clock.now()
-        self._guard.admission.limit.announce(announcement.slots)
+        self._guard.admission.limit.set_slots(announcement.slots)
         if self._upstream_url != announcement.url or self._upstream is None:
             self._replace_upstream(announcement)
         if me.slots != announcement.slots or not me.ready:
@@ -320,7 +322,7 @@
             announcement.url, announcement.connections, self._settings.limits.body
         )
         self._guard.attach(self._upstream)
-        self._guard.admission.limit.restart()
+        self._guard.admission.limit.restart_warmup()
         log_change("upstream_announced", url=announcement.url)
         if old is not None:
             # Requests under way on the old connections still finish.
@@ -351,7 +353,7 @@
             "admission.running": admission.running,
             "admission.waiting": admission.waiting,
             "admission.limit": admission.limit.current,
-            "admission.cut": admission.cut,
+            "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
             "edge.in_flight": self._edge.in_flight,
             "keys.remembered": self._guard.ledger.remembered,
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -34,15 +34,15 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HttpServer, RequestLimits
 from rattanfork_node.http1.handler import RequestHandler
-from rattanfork_node.member import MemberTask
-from rattanfork_node.member.directory import Directory
-from rattanfork_node.member.gate_news import GateNewsTask
+from rattanfork_node.member import GossipTask
+from rattanfork_node.member.directory import InstanceDirectory
+from rattanfork_node.member.gate_report_task import GateReportTask
 from rattanfork_node.member.quarantine_task import QuarantineTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.relay import (
-    Departure,
+    DecisionLog,
+    DrainPolicy,
     Gate,
-    Journal,
     Relay,
     RelayPeerHandler,
 )
@@ -180,14 +180,14 @@
             self._clock,
             self._random,
             me,
-            MembershipSettings(pushes=_PUSHES, push_interval=_TICK),
+            MembershipSettings(push_fanout=_PUSHES, push_interval=_TICK),
         )
         self._reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
         self._membership.on_status = self._on_member
         self._lease = ConfigurationLease(BootClock())
         self._objectives = RouteObjectives(self._clock)
-        self._journal = Journal(
+        self._journal = DecisionLog(
             self._clock,
             self._log,
             self._counters,
@@ -203,7 +203,10 @@
             self._counters,
             self._journal,
             RepeatGrants(
-                self._clock, relay.repeat_ratio, relay.repeat_extra, relay.repeat_window
+                self._clock,
+                relay.retry_budget_ratio,
+                relay.retry_budget_extra,
+                relay.retry_budget_window,
             ),
             self._quarantine,
         )
@@ -220,7 +223,7 @@
 
     def _make_tasks(self) -> None:
         settings = self._settings
-        self._member = MemberTask(
+        self._member = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -230,7 +233,7 @@
             self._counters,
         )
         self._handler.connect(self._member)
-        self._gate_news = GateNewsTask(
+        self._gate_news = GateReportTask(
             self._reports, self._membership, self._member, self._gate
         )
         self._quarantine_task = QuarantineTask(
@@ -254,7 +257,7 @@
             self._member,
             self._pool,
             self._counters,
-            self._quarantine_task.read_record,
+            self._quarantine_task.merge_record,
             self._quarantine_task.persist_all,
             self._lease,
         )
@@ -274,7 +277,7 @@
         self, announcement_handler: Callable[["RelayNode"], RequestHandler]
     ) -> None:
         settings = self._settings
-        self._directory = Directory(
+        self._directory = InstanceDirectory(
             self._clock, self._random, self._membership, _LOCAL_LOAD
         )
         self._relay = Relay(
@@ -392,7 +395,7 @@
         for _, server in self._servers:
             server.sweep()
         self._metrics.sweep()
-        gates = self._directory.size(self._settings.relay.service)
+        gates = self._directory.instance_count(self._settings.relay.service)
         self._gate.grants.share_among(gates)
 
     def _on_member(self, member: Member, before: MemberStatus | None) -> None:
@@ -402,8 +405,8 @@
     def _on_configuration(self, configuration: Configuration) -> None:
         self._observer.on_configuration()
         self._callers.limits = RequestLimits(
-            configuration.head_bytes,
-            configuration.body_bytes,
+            configuration.max_head_bytes,
+            configuration.max_body_bytes,
             configuration.head_timeout,
             configuration.idle_timeout,
         )
@@ -415,7 +418,7 @@
         )
         self._keeper.close()
         ends_at = shutdown.begin()
-        self._relay.leave(Departure(self._clock, ends_at, shutdown.serves_until))
+        self._relay.drain(DrainPolicy(self._clock, ends_at, shutdown.serves_until))
         removal = asyncio.ensure_future(self._store.leave())
         status = await shutdown.finish()
         removal.cancel()
--- a/packages/rattanfork-node/rattanfork_node/member/gate_news.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
@@ -1,9 +1,9 @@
 """Tells the fleet how this node's gate fares, and passes on what others tell."""
 
 from rattanfork_core.gate_status import MAX_REPORTERS, GateReportTable
-from rattanfork_core.membership import GateNews, Member, Membership, duty_group
+from rattanfork_core.membership import GateUpdate, Member, Membership, role_holders
 
-from rattanfork_node.member.task import MemberTask
+from rattanfork_node.member.gossip_task import GossipTask
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.telemetry import log_change
 
@@ -12,7 +12,7 @@
 _TOLD = 2
 
 
-class GateNewsTask:
+class GateReportTask:
     """Carries the reports of gates over datagrams.
 
     Parameters
@@ -22,7 +22,7 @@
         What is known.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends datagrams, and hears them.
     gate : Gate
         This node's gate.
@@ -32,7 +32,7 @@
         self,
         reports: GateReportTable,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         gate: Gate,
     ) -> None:
         self._reports = reports
@@ -52,7 +52,7 @@
             self._report()
         told = self._reports.take_fresh()
         if told:
-            self._member_task.pass_on(GateNews(told), _TOLD)
+            self._member_task.pass_on(GateUpdate(told), _TOLD)
 
     def _report(self) -> None:
         gate = self._gate
@@ -60,14 +60,14 @@
         if impaired != self._impaired:
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
-        cut = gate.own_cut if self._tells_threshold else None
+        cut = gate.own_threshold if self._tells_threshold else None
         self._reports.update_own(self._membership.me.service, cut, impaired)
 
     def _regroup(self) -> None:
         self._view = self._membership.version
         me = self._membership.me
         names = [m.name for m in self._membership.present() if _serves(m, me.service)]
-        reporters = duty_group(names, "thresholds", MAX_REPORTERS)
+        reporters = role_holders(names, "thresholds", MAX_REPORTERS)
         self._tells_threshold = me.name in reporters
 
 
--- a/packages/rattanfork-node/rattanfork_node/member/task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gossip_task.py
@@ -7,11 +7,11 @@
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ReportsByService
 from rattanfork_core.membership import (
+    CachedVersions,
     CrashUpdate,
     DirectMessage,
-    GateNews,
+    GateUpdate,
     GossipUpdate,
-    HeldVersions,
     Member,
     Membership,
     Send,
@@ -27,7 +27,7 @@
 MOST_RECORDS = 1000
 
 
-class MemberTask(asyncio.DatagramProtocol):
+class GossipTask(asyncio.DatagramProtocol):
     """Carries the membership protocol.
 
     Parameters
@@ -75,10 +75,10 @@
         self.newest_configuration = 0
         self.newest_rules = 0
         #: Who told of them last; None while nobody has.
-        self.configuration_teller: Member | None = None
-        self.rules_teller: Member | None = None
+        self.configuration_source: Member | None = None
+        self.rules_source: Member | None = None
         #: Told what the sender of each datagram holds.
-        self.on_held: Callable[[HeldVersions], None] = _ignore
+        self.on_held_versions: Callable[[CachedVersions], None] = _ignore
         #: Told who sent it, and how many milliseconds ago it was confirmed there.
         self.on_confirmed: Callable[[Member, int], None] = _ignore_two
         #: Take requests and replies of other nodes, by their type.
@@ -117,11 +117,11 @@
 
     def introduce(self) -> None:
         """Tell the others that this node is here."""
-        self._send_all(self._membership.introduce())
+        self._send_all(self._membership.announce_self())
 
     def tell(self, names: Iterable[str]) -> None:
         """Tell some members at once what this node holds of the store."""
-        self._send_all(self._membership.tell(names))
+        self._send_all(self._membership.ping_members(names))
 
     def leave(self) -> None:
         """Tell the others that this node takes no new work."""
@@ -134,7 +134,7 @@
         except ValueError:
             self._counters.events["gossip.refused"] += 1
             return
-        if isinstance(message, GateNews):
+        if isinstance(message, GateUpdate):
             self.on_reports(message.reports)
             return
         if isinstance(message, CrashUpdate):
@@ -144,23 +144,23 @@
         if direct is not None:
             direct(message, addr)
             return
-        self._hear(message.sender, message.held)
+        self._hear(message.sender, message.versions)
         self._send_all(self._membership.on_message(message, addr))
 
     def pass_on(self, news: GossipUpdate, count: int) -> None:
         """Send news to so many members drawn at random."""
         data = encode_gossip(news, self._key)
-        for member in self._membership.some(count):
+        for member in self._membership.random_members(count):
             self._send(data, member.address)
 
     def send(self, message: DirectMessage, address: tuple[str, int]) -> None:
         """Send a request to a node, or a reply."""
         self._send(encode_gossip(message, self._key), address)
 
-    def records_differing(self, request: SyncRequest) -> list[Member]:
+    def differing_records(self, request: SyncRequest) -> list[Member]:
         """Return the records in which another's view differs from this one."""
         buckets = self._membership.digest.differing(request.digest)
-        return self._membership.records_in(buckets)[:MOST_RECORDS]
+        return self._membership.records_in_buckets(buckets)[:MOST_RECORDS]
 
     def close(self) -> None:
         """Stop."""
@@ -173,15 +173,15 @@
         """Take note that a node holds a version of the configuration."""
         self.newest_configuration = max(self.newest_configuration, version)
 
-    def _hear(self, sender: Member, held: HeldVersions) -> None:
+    def _hear(self, sender: Member, held: CachedVersions) -> None:
         if held.configuration and held.configuration >= self.newest_configuration:
             self.newest_configuration = held.configuration
-            self.configuration_teller = sender
+            self.configuration_source = sender
         if held.rules and held.rules >= self.newest_rules:
             self.newest_rules = held.rules
-            self.rules_teller = sender
-        self.on_held(held)
-        self.on_confirmed(sender, held.confirmed)
+            self.rules_source = sender
+        self.on_held_versions(held)
+        self.on_confirmed(sender, held.confirmation_age_ms)
 
     def _send_all(self, sends: Iterable[Send]) -> None:
         for send in sends:
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -13,17 +13,17 @@
     MemberStatus,
     QuotaReply,
     QuotaRequest,
-    duty_group,
+    role_holders,
 )
 from rattanfork_core.quota import (
     QuotaBound,
-    RecentMaximum,
     TokenIssuer,
     TokenLeases,
     TokenRequest,
+    WindowedMaximum,
 )
 
-from rattanfork_node.member.task import MemberTask
+from rattanfork_node.member.gossip_task import GossipTask
 
 #: Nodes of each data centre that issue tokens; each account falls to one of them.
 _ISSUERS = 8
@@ -47,7 +47,7 @@
         Source of jitter.
     membership : Membership
         Who is there.
-    member_task : MemberTask
+    member_task : GossipTask
         Sends and receives datagrams.
     bound : QuotaBound
         By how much limits may be exceeded.
@@ -62,7 +62,7 @@
         clock: Clock,
         random: Random,
         membership: Membership,
-        member_task: MemberTask,
+        member_task: GossipTask,
         bound: QuotaBound,
         accounts: Callable[[], AccountIndex | None],
         has_joined: Callable[[], bool],
@@ -78,7 +78,7 @@
         self._issuers: dict[str, Member] = {}
         self._settled_at = clock.now()
         self._alive = 1
-        self._fleet = RecentMaximum(clock, _FLEET_MEMORY, 1)
+        self._fleet = WindowedMaximum(clock, _FLEET_MEMORY, 1)
         #: When nodes failed that have not been replaced, by instance.
         self._doubtful: dict[str, float] = {}
         self._ticks = 0
@@ -105,7 +105,7 @@
         """Take in tokens of another node."""
         self.leases.on_reply(reply.number, reply.tokens, reply.wait / 1000)
 
-    def on_member(self, member: Member, before: MemberStatus | None) -> None:
+    def on_status_change(self, member: Member, before: MemberStatus | None) -> None:
         """Take note of who failed, and who is back."""
         if member.status == MemberStatus.ALIVE:
             self._doubtful.pop(member.instance, None)
@@ -118,7 +118,7 @@
         self._look()
         self.leases.tick()
         if self._ticks % _SWEEP_TICKS == 0:
-            self.issuer.sweep()
+            self.issuer.drop_idle_accounts()
             self._forget_failed()
 
     def _issue(self, request: QuotaRequest) -> QuotaReply | None:
@@ -216,7 +216,7 @@
     centres: dict[str, list[str]] = {}
     for instance, member in members.items():
         centres.setdefault(member.data_centre, []).append(instance)
-    chosen = (duty_group(names, "quota", _ISSUERS) for names in centres.values())
+    chosen = (role_holders(names, "quota", _ISSUERS) for names in centres.values())
     return {name: members[name] for names in chosen for name in names}
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -13,14 +13,14 @@
     Finish,
     Outcome,
     Reason,
-    RequestMachine,
+    RequestStateMachine,
     SendCall,
     SendCancel,
 )
 from rattanfork_core.request.commands import Command
 
 from rattanfork_node.peer import Cancel, LinkLostError, PeerLink, Run, RunReply
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.relay.job import Job
 
 if TYPE_CHECKING:
@@ -124,12 +124,12 @@
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
         account = HopAccount(relay.clock, deadline, route.most_upstreams - 1)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             account,
             route.idempotent,
             self._pick,
             may_retry=self._may_retry,
-            free_refusals=_FREE_REFUSALS,
+            free_retries=_FREE_REFUSALS,
         )
         wait = max(0.0, deadline - relay.clock.now())
         self._timer = relay.loop.call_later(wait, self._on_deadline)
@@ -141,7 +141,7 @@
 
     def on_caller_left(self) -> None:
         """Stop all work: nobody waits for the answer."""
-        self._carry_out(self._machine.on_caller_left())
+        self._carry_out(self._machine.on_caller_disconnected())
 
     def _pick(self, avoid: frozenset[str]) -> str | None:
         admitted = self._admitted
@@ -223,7 +223,7 @@
         attempt = self._attempt
         self._link = None
         if self._state is not None:
-            self._state.busy = self._relay.gate.busy
+            self._state.busy = self._relay.gate.outstanding
         self._job = Job(
             member.boot,
             admitted.operation,
@@ -304,7 +304,7 @@
             self._note(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
             self._arrived = True
-            self._carry_out(self._machine.on_link_lost(attempt))
+            self._carry_out(self._machine.on_connection_lost(attempt))
             return
         self._relay.early.update(self._admitted.operation, name, reply.cut)
         if self._state is not None:
@@ -390,7 +390,7 @@
                         )
             except (LinkLostError, TimeoutError, ValueError):
                 self._relay.counters.events["relay.fence-unanswered"] += 1
-            self._carry_out(self._machine.on_fence(attempt, verdict))
+            self._carry_out(self._machine.on_fence_verdict(attempt, verdict))
 
         self._relay.spawn(fence())
 
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -27,9 +27,9 @@
     render_head,
 )
 from rattanfork_node.relay.crash_detector import CrashDetector
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.gate_results import lost, not_run, result_of
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.results import lost, not_run, result_of
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters
 
@@ -99,7 +99,7 @@
         boot: str,
         names: HeaderNames,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         grants: RepeatGrants,
         quarantine: Quarantine,
     ) -> None:
@@ -119,10 +119,10 @@
                 slots=1,
                 warmup=0.0,
                 adaptive=False,
-                queue_share=_QUEUE_SHARE,
-                queue_seconds=_QUEUE_SECONDS,
+                queue_ratio=_QUEUE_SHARE,
+                queue_delay=_QUEUE_SECONDS,
                 surge_sample=_SURGE_SAMPLE,
-                longest_wait=_LONGEST_WAIT,
+                max_wait=_LONGEST_WAIT,
             ),
         )
         #: Thresholds that runs of the upstream have met at the services they call.
@@ -161,12 +161,12 @@
         return self._accepting
 
     @property
-    def own_cut(self) -> float:
+    def own_threshold(self) -> float:
         """Threshold of this gate alone."""
-        return self._admission.cut
+        return self._admission.threshold
 
     @property
-    def busy(self) -> int:
+    def outstanding(self) -> int:
         """Requests waiting or running."""
         return len(self._jobs)
 
@@ -183,7 +183,7 @@
     def attach(self, upstream: Upstream, connections: int) -> None:
         """Take new work for an upstream that announced itself."""
         known = self._upstream
-        if known is None or not upstream.continues(known):
+        if known is None or not upstream.is_same_incarnation(known):
             if known is not None and self._accepting:
                 in_flight = (j for j in self._jobs.values() if j.connection is not None)
                 self._crash_detector.on_replaced([j.fingerprint for j in in_flight])
@@ -193,7 +193,7 @@
         elif not upstream.born:
             upstream = upstream._replace(born=known.born)
         self._upstream = upstream
-        self._admission.limit.announce(max(1, int(upstream.slots * _USED_SLOTS)))
+        self._admission.limit.set_slots(max(1, int(upstream.slots * _USED_SLOTS)))
         self._accepting = True
         self.misdirected = False
 
@@ -213,9 +213,9 @@
         prefix, dot, _ = request_id.rpartition(b".")
         return self._running.get(prefix) if dot else None
 
-    def cut(self, operation: str) -> float:
+    def threshold(self, operation: str) -> float:
         """Return the threshold to announce: the gate's or a deeper one."""
-        return min(self._admission.cut, self._deeper.threshold(operation, _HERE))
+        return min(self._admission.threshold, self._deeper.threshold(operation, _HERE))
 
     def submit(self, job: Job) -> None:
         """Take a request; its ``done`` is called once."""
@@ -303,7 +303,7 @@
             self._pool.retire()
         self._pool = self._make_pool(upstream, connections)
         self._crash_detector.watch(self._pool, upstream)
-        self._admission.restart()
+        self._admission.reset_estimates()
         self.health = UpstreamHealth(self._clock)
 
     def _make_pool(self, upstream: Upstream, connections: int) -> UpstreamPool:
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -21,8 +21,8 @@
     CallResult,
     Outcome,
     Reason,
+    jittered_retry_after,
     rank_of_call,
-    spread_retry_after,
 )
 from rattanfork_core.revision import RevisionState
 from rattanfork_core.routes import Route
@@ -31,22 +31,22 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import Exchange, HeaderNames
 from rattanfork_node.http1.handler import RequestHandler
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import PeerPool
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.relay.client_accounts import ClientAccounts
-from rattanfork_node.relay.departure import Departure
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.drain_policy import DrainPolicy
 from rattanfork_node.relay.forwarding import Forwarding
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.ranking import rank_of_request
 from rattanfork_node.relay.refusals import NOT_RUN_STATUS, Refusals
+from rattanfork_node.relay.request_rank import rank_of_request
 from rattanfork_node.relay.settings import RelaySettings
 from rattanfork_node.telemetry import Counters
 
 if TYPE_CHECKING:
-    from rattanfork_node.relay.ruling import Ruler, Verdict
+    from rattanfork_node.relay.rule_decisions import Ruler, Verdict
 
 #: Seconds before the deadline at which a request is given up, so that its
 #: answer still reaches the caller in time.
@@ -86,7 +86,7 @@
         Routes.
     rules : RevisionState
         The operators' ordered rules; they stand above the routes.
-    directory : Directory
+    directory : InstanceDirectory
         Who serves what.
     membership : Membership
         Told of members that are gone.
@@ -114,12 +114,12 @@
         names: HeaderNames,
         configuration: ConfigurationHolder,
         rules: RevisionState,
-        directory: Directory,
+        directory: InstanceDirectory,
         membership: Membership,
         pool: PeerPool,
         gate: Gate,
         counters: Counters,
-        journal: Journal,
+        journal: DecisionLog,
         reports: GateReportTable,
         quarantine: Quarantine,
         accounts: ClientAccounts,
@@ -135,7 +135,7 @@
         #: Services behind the operations that callers ask for here.
         self.reach = OperationDependencies()
         self._reports = reports
-        self._chain = CallChainThresholds(reports, self.reach, directory.size)
+        self._chain = CallChainThresholds(reports, self.reach, directory.instance_count)
         self.my_name = membership.me.name
         self._journal = journal
         self._accounts = accounts
@@ -148,7 +148,7 @@
         self._rules = rules
         self._ruler: Ruler | None = None
         self._membership = membership
-        self._departure: Departure | None = None
+        self._departure: DrainPolicy | None = None
         self._operations: dict[tuple[str, str], str] = {}
         self._background: set[asyncio.Task] = set()
         self._caller_line = names.caller + b": " + settings.service.encode() + b"\r\n"
@@ -224,7 +224,7 @@
                 return
             if verdict.data_centre is not None:
                 elsewhere = picker.instances_outside(verdict.data_centre)
-        if self._departure is not None and not self._departure.takes(route, picker):
+        if self._departure is not None and not self._departure.accepts(route, picker):
             after = self._settings.retry_after
             self._refusals.refuse(exchange, Reason.LEAVING, after, route=route.name)
             return
@@ -265,7 +265,7 @@
         # Each gate may be asked if all shed: it judges for itself.
         return blocked | shedding if len(shedding) < len(picker.subset) else blocked
 
-    def leave(self, departure: Departure) -> None:
+    def drain(self, departure: DrainPolicy) -> None:
         """Take only what a departing node does.
 
         Calls of runs at the node's own upstream are taken until the end: those
@@ -285,7 +285,7 @@
 
     def bury(self, name: str) -> None:
         """Take note that another process answers at a member's address."""
-        self._membership.bury(name)
+        self._membership.mark_dead(name)
 
     def suspect(self, name: str) -> None:
         """Take note that no connection to a member could be made."""
@@ -370,7 +370,7 @@
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
     ) -> Verdict:
         if self._ruler is None:
-            from rattanfork_node.relay.ruling import Ruler
+            from rattanfork_node.relay.rule_decisions import Ruler
 
             self._ruler = Ruler(self.clock, self._settings.data_centre)
         return self._ruler.rule(
@@ -385,7 +385,7 @@
 
     def _pass_up(self, parent: Job, admitted: Admitted, result: CallResult) -> None:
         operation, picker = admitted.operation, admitted.picker
-        own_cut = self.gate.cut(operation)
+        own_cut = self.gate.threshold(operation)
         cut = self.early.highest_threshold(picker, operation, self.my_name, own_cut)
         if cut is not None:
             parent.heard_cut = min(parent.heard_cut, cut)
@@ -395,7 +395,7 @@
             parent.succeeded_calls += 1
 
     def _return_after(self, rank: float) -> float:
-        return spread_retry_after(self._settings.retry_after, rank, self._random)
+        return jittered_retry_after(self._settings.retry_after, rank, self._random)
 
 
 def _status_without_answer(outcome: Outcome, reason: Reason) -> int:
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -11,18 +11,18 @@
 from rattanfork_core.membership import Member, Membership
 from rattanfork_core.objectives import RouteObjectives
 from rattanfork_core.quarantine import Quarantine
-from rattanfork_core.quota import Quota, Verdict
+from rattanfork_core.quota import Quota, QuotaDecision
 from rattanfork_core.request import CallResult
 from rattanfork_core.revision import ConfigurationLease, RevisionState, RulesRecord
-from rattanfork_core.routes import Configuration, Route, Share
+from rattanfork_core.routes import Configuration, Route, WeightedService
 from rattanfork_core.trace import LineBudget
 
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HeaderNames, UpstreamAnswer
 from rattanfork_node.http1.exchange import Exchange
-from rattanfork_node.member.directory import Directory
+from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, Run, RunReply
-from rattanfork_node.relay import ClientAccounts, Journal, Relay, RelaySettings
+from rattanfork_node.relay import ClientAccounts, DecisionLog, Relay, RelaySettings
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
 from rattanfork_node.relay.upstream import Upstream
@@ -101,14 +101,14 @@
         self.lines.append({"kind": kind, "id": request_id.decode(), **fields})
 
 
-class GateWorld:
+class GateHarness:
     """A gate with an upstream that the test speaks for."""
 
     def __init__(self, slots: int = 1) -> None:
         self.clock = ManualClock(100.0)
         self.log = FakeLog(self.clock)
         holder, rules = ConfigurationHolder(lambda _: None), RevisionState()
-        journal = Journal(self.clock, self.log, Counters(), holder, rules)
+        journal = DecisionLog(self.clock, self.log, Counters(), holder, rules)
         self.grants = RepeatGrants(self.clock, ratio=0.2, extra=48, window=10)
         self.quarantine = Quarantine(self.clock)
         self.gate = Gate(
@@ -217,7 +217,7 @@
     """Says what the test wants, at once or when the test says so."""
 
     def __init__(self) -> None:
-        self.verdict: Verdict | None = Verdict.GRANTED
+        self.verdict: QuotaDecision | None = QuotaDecision.GRANTED
         self.retry_after = 0.0
         self.pending: list = []
         self.taken: list[str] = []
@@ -230,7 +230,7 @@
         else:
             decided(self.verdict, self.retry_after)
 
-    def give_back(self, account, granted_at) -> None:
+    def refund(self, account, granted_at) -> None:
         self.returned.append(account.name)
 
     def tick(self) -> None:
@@ -244,7 +244,7 @@
         pass
 
 
-class RelayWorld:
+class RelayHarness:
     """A relay on node ``me`` of service ``s``, with peers and an upstream."""
 
     def __init__(
@@ -260,8 +260,8 @@
         self.log = FakeLog(self.clock)
         self.objectives = RouteObjectives(self.clock)
         fields = {"timeout": 1.0, "idempotent": True, "priority": 2, **route}
-        self.route = Route("r", "h", "/a/", (Share("t"),), **fields)
-        self.inner = Route("i", "h", "/i/", (Share("t"),), **fields)
+        self.route = Route("r", "h", "/a/", (WeightedService("t"),), **fields)
+        self.inner = Route("i", "h", "/i/", (WeightedService("t"),), **fields)
         me = Member("me", "b1", "s", "dc1", "127.0.0.1", 1, 1, 8, ready=True)
         membership = Membership(self.clock, Random(1), me)
         self.pool = FakePeerPool()
@@ -269,7 +269,7 @@
             peer = Member(f"p{place}", "b", "t", "dc1", "127.0.0.1", 2 + place, 2, 8)
             membership.merge([peer])
             self.pool.links[peer.name] = FakeLink(peer.name)
-        self.gate_world = GateWorld(8)
+        self.gate_world = GateHarness(8)
         self.gate = self.gate_world.gate
         self.gate._clock = self.clock
         self.quarantine = self.gate_world.quarantine = Quarantine(self.clock)
@@ -295,7 +295,7 @@
             self._want_proof,
         )
         self.rules = RevisionState()
-        self.rules.hear_from_store(None)
+        self.rules.receive_from_store(None)
         self.reports = GateReportTable(self.clock, me.name)
         self.relay = Relay(
             self.clock,
@@ -304,12 +304,12 @@
             HeaderNames(),
             holder,
             self.rules,
-            Directory(self.clock, Random(1), membership),
+            InstanceDirectory(self.clock, Random(1), membership),
             membership,
             self.pool,
             self.gate,
             self.counters,
-            Journal(
+            DecisionLog(
                 self.clock,
                 self.log,
                 self.counters,
@@ -327,7 +327,7 @@
         self.index = None if accounts is None else AccountIndex(accounts)
         self.version += 1
         self.holder.offer(b"-")
-        self.accounts.review()
+        self.accounts.recheck_waiting()
 
     def _want_proof(self) -> None:
         self.proofs_wanted += 1
@@ -335,7 +335,7 @@
     def accept_rules(self, text: str) -> None:
         """Let a document of rules be in force."""
         revision = self.rules.revision + 1
-        self.rules.hear_from_store(RulesRecord(revision, "op", "ann", "", text))
+        self.rules.receive_from_store(RulesRecord(revision, "op", "ann", "", text))
 
     @property
     def links(self) -> list[FakeLink]:
