--- a/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """State that an upstream sends to its node once per heartbeat interval.
+    """State that an upstream sends to its node about once per heartbeat interval.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/gate_status/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/__init__.py
@@ -4,10 +4,10 @@
 ===========
 
 A *gate* is the admission control that a node runs in front of its upstream.  Each
-request has a *rank* in ``[0, RANKS)``; requests of higher rank are shed first.  A gate
-sheds every rank from its *threshold* on, as a service in DAGOR sheds from its admission
-level on.  Other nodes learn the threshold from replies and by gossip, and use it before
-a request is forwarded: to shed it early, or to pick another instance.
+request has a *rank* in ``[0, RANK_LIMIT)``; requests of higher rank are shed first.  A
+gate sheds every rank from its *threshold* on, like a service in DAGOR from its
+admission level on.  Other nodes learn the threshold from replies and by gossip, and use
+it before they forward a request: to shed it early, or to pick another instance.
 """
 
 from rattanfork_core.gate_status.call_chain import CallChainThresholds
--- a/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/call_chain.py
@@ -8,7 +8,7 @@
 
 
 class CallChainThresholds:
-    """Computes the rank from which a request would be shed somewhere downstream.
+    """Computes the rank from which a request would be shed along its call chain.
 
     Explanation
     ===========
--- a/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/dependencies.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-#: Weight of the latest run in the moving average of runs that reach a service.
+#: Weight of the latest run in the moving share of runs that call a service.
 _SMOOTHING = 0.1
 #: Share of runs from which a service counts as a dependency.  Runs that call it only
 #: occasionally may well succeed without it.
--- a/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -6,9 +6,9 @@
 from rattanfork_core.routing import InstancePicker
 
 #: Seconds for which a reported threshold is used unchanged, ranks by which it then
-#: rises each second, and seconds without a report after which a request may probe it.
-#: Replies come many times a second while any request passes; the threshold has to rise
-#: by itself only when none does.
+#: rises each second, and seconds without a reply after which a request may probe it.
+#: Replies come many times a second while any request passes, so a threshold becomes
+#: stale only if none does.
 _FRESH = 0.4
 _RISE = 1.0
 _PROBE_AFTER = 0.2
@@ -62,11 +62,11 @@
         admitted = False
         for state in picker.subset:
             if rank < thresholds.threshold(operation, state.name):
-                # A threshold that has risen by time alone would admit all requests of
-                # a rank, long before the first reply shows that it still holds: nearly
-                # a third of the requests to a service that shed their rank were
-                # started and failed.  While the last reported thresholds shed the rank
-                # at every instance, only probes pass.
+                # A threshold that rises with time admits all requests of a rank at
+                # once, long before a reply shows that the gate still sheds the rank:
+                # nearly a third of the requests to such a service were started and
+                # failed.  While the last reported thresholds shed the rank at every
+                # instance, only probes pass.
                 admitted |= rank < thresholds.last_reported(operation, state.name)
             elif not state.mostly_failing:
                 shedding.append(state.name)
--- a/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
@@ -87,19 +87,19 @@
         for number in (gate, sequence, cut, age_ms):
             if type(number) is not int or not 0 <= number < 1 << 62:
                 raise ValueError(
-                    "gate report: gate, sequence, cut and age must be integers in "
+                    "gate report: gate, sequence, cut and age_ms must be integers in "
                     "0..2**62-1"
                 )
         return cls(*fields)
 
 
-#: Reports by service.
 ReportsByService = Mapping[str, Iterable[GateReport]]
 
 
 @dataclass(slots=True)
 class _StoredReport:
     sequence: int
+    #: Threshold of the gate, in ranks.
     cut: float
     impaired: bool
     reported_at: float
@@ -155,12 +155,12 @@
         self._stored: dict[tuple[str, int], _StoredReport] = {}
         self._by_service: dict[str, dict[int, _StoredReport]] = {}
         self._sequence = 0
-        self._not_normal_at: float | None = None
+        self._last_abnormal_at: float | None = None
 
     def __len__(self) -> int:
         return len(self._stored)
 
-    def update_own(self, service: str, cut: float | None, impaired: bool) -> None:
+    def update_own(self, service: str, threshold: float | None, impaired: bool) -> None:
         """Report the status of this node's own gate; called several times a second.
 
         Parameters
@@ -168,27 +168,27 @@
 
         service : str
             Service of the gate's upstream.
-        cut : float or None
+        threshold : float or None
             Rank from which the gate sheds; None if it is not one of the gates of its
             service that report their thresholds.
         impaired : bool
             Whether its upstream fails or has become slow.
         """
         now = self._clock.now()
-        cut = _OPEN if cut is None else cut
-        if cut < _OPEN or impaired:
-            self._not_normal_at = now
+        threshold = _OPEN if threshold is None else threshold
+        if threshold < _OPEN or impaired:
+            self._last_abnormal_at = now
         if (
-            self._not_normal_at is None
-            or now - self._not_normal_at > _REPORT_RECOVERY_FOR
+            self._last_abnormal_at is None
+            or now - self._last_abnormal_at > _REPORT_RECOVERY_FOR
         ):
             return
         last = self._stored.get((service, self._me))
-        if last is not None and _is_repetition(last, cut, impaired, now):
+        if last is not None and _is_repetition(last, threshold, impaired, now):
             return
         self._sequence += 1
         self._store(
-            service, self._me, _StoredReport(self._sequence, cut, impaired, now)
+            service, self._me, _StoredReport(self._sequence, threshold, impaired, now)
         )
 
     def take_fresh(self) -> dict[str, list[GateReport]]:
@@ -303,8 +303,8 @@
 
 
 def _is_repetition(
-    stored: _StoredReport, cut: float, impaired: bool, now: float
+    stored: _StoredReport, threshold: float, impaired: bool, now: float
 ) -> bool:
-    if cut < _OPEN or stored.cut < _OPEN or stored.impaired != impaired:
+    if threshold < _OPEN or stored.cut < _OPEN or stored.impaired != impaired:
         return False
     return now - stored.reported_at < _REPEAT_AFTER
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -8,7 +8,7 @@
 #: Largest distance in ranks between the reported threshold and the rank of a probe.
 _PROBE_MARGIN = 0.2
 #: Seconds after which a probe without a reply counts as lost.  Most runs are shorter;
-#: during a longer one a second probe may be sent, which does no harm.
+#: a longer one only lets a second probe pass.
 _PROBE_TIMEOUT = 1.0
 
 
@@ -19,10 +19,10 @@
     ===========
 
     A reply carries the lower of the gate's own threshold and the thresholds of the
-    services that the operation calls downstream.  This node sheds what the instance
-    would shed, before any work is done.  A threshold is used unchanged for a short
-    time and then rises: if every request for a gate is shed early, the gate sends no
-    replies, and its last threshold would otherwise hold for ever.
+    services that the operation calls.  This node sheds what the instance would shed,
+    before any work is done.  A threshold is used unchanged for a short time and then
+    rises: if every request for a gate is shed early, the gate sends no replies, and its
+    last threshold would otherwise hold for ever.
 
     After an overload few requests pass, so few replies report that the gate has
     opened.  A request just above the reported threshold, or below the value that it
--- a/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
@@ -23,7 +23,7 @@
 #: not make an upstream slow.
 _PRIOR_RUNS = 3.0
 #: Multiple of the mean duration from which an upstream is slow.  Runs of a healthy one
-#: end at random, so for a while few may end.
+#: end at random, so few may end within the window.
 _SLOW_FACTOR = 3.0
 #: Seconds for which an upstream that was slow counts as impaired.
 _SLOW_HOLD = 3.0
@@ -75,7 +75,7 @@
         "_failure_rate",
         "_failure_rate_at",
         "_means",
-        "_rate",
+        "_spending_rate",
         "_running",
         "_slow_until",
         "_spent",
@@ -91,7 +91,7 @@
         #: Mean duration, time of its last update and number of runs, by operation.
         self._means: dict[str, tuple[float, float, int]] = {}
         #: Mean durations that the runs in progress spend per second.
-        self._rate = 0.0
+        self._spending_rate = 0.0
         #: Decaying sums of the mean durations spent and of the completed runs.
         self._spent = 0.0
         self._completed = 0.0
@@ -110,7 +110,7 @@
         if runs < _MIN_RUNS:
             mean = 0.0
         if mean:
-            self._rate += 1.0 / mean
+            self._spending_rate += 1.0 / mean
         self._running[key] = (operation, self._clock.now(), mean)
 
     def on_ended(self, key: int, failed: bool, counts: bool = True) -> None:
@@ -133,7 +133,7 @@
         self._update_sums()
         operation, started_at, mean = run
         if mean:
-            self._rate -= 1.0 / mean
+            self._spending_rate -= 1.0 / mean
         if not counts:
             return
         if mean:
@@ -175,9 +175,9 @@
             return
         decay = exp(-elapsed / _COMPARISON_WINDOW)
         # Time is spent at a constant rate since the last update, and decays meanwhile.
-        self._spent = self._spent * decay + self._rate * _COMPARISON_WINDOW * (
+        self._spent = self._spent * decay + self._spending_rate * _COMPARISON_WINDOW * (
             1.0 - decay
         )
         self._completed *= decay
         if not self._running:
-            self._rate = 0.0
+            self._spending_rate = 0.0
