--- a/packages/rattanfork-core/rattanfork_core/routing/picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/picker.py
@@ -171,9 +171,9 @@
     def _unimpaired(self, candidates: list[InstanceState]) -> list[InstanceState]:
         """Return the instances that are not impaired and have room.
 
-        If there are none, the caller compares all: impaired instances are avoided only
-        while others have room.  Otherwise their load could fill a service with little
-        spare capacity, and all of its gates would shed.
+        If there are none, the caller considers all candidates: impaired instances are
+        avoided only while others have room.  Avoiding them always would move their load
+        to the others, and in a service with little spare capacity all would shed.
         """
         now = self._clock.now()
         if all(s.impaired_until <= now for s in candidates):
@@ -191,8 +191,8 @@
         instance 0.6 times as fast as the mean, and one in 630 at one 1.4 times as fast.
 
         Only instances known to be slow are excluded, and only until their latency is
-        too old.  Instances of unknown latency are not called just to measure it: where
-        a node makes few calls, most would be such probes.
+        too old.  They get no probes before: where a node makes few calls, most of its
+        calls would be probes.
         """
         max_mean = timeout / _TIMEOUT_MEANS
         now = self._clock.now()
--- a/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
@@ -17,7 +17,7 @@
     return picker
 
 
-def share(picker: InstancePicker, name: str) -> float:
+def pick_share(picker: InstancePicker, name: str) -> float:
     return Counter(picker.pick(NO_INSTANCES) for _ in range(1000))[name] / 1000
 
 
@@ -28,9 +28,9 @@
 def test_own_data_centre_is_preferred_until_it_is_the_worse_choice():
     near, far = state("near"), state("far", "dc2")
     picker = make_picker(near, far)
-    assert share(picker, "near") == 1.0
+    assert pick_share(picker, "near") == 1.0
     near.latency, far.latency = 0.2, 0.02
-    assert share(picker, "far") == 1.0
+    assert pick_share(picker, "far") == 1.0
 
 
 def test_fast_failing_instance_does_not_attract_calls():
@@ -40,12 +40,12 @@
     for _ in range(5):
         bad.on_sent(100.0)
         bad.on_done(100.001, 100.0, failed=True)
-    assert share(picker, "good") == 1.0
+    assert pick_share(picker, "good") == 1.0
 
 
 def test_instance_in_warm_up_gets_fewer_calls():
     picker = make_picker(state("warm"), state("cold", known_since=99.5), state("third"))
-    assert share(picker, "cold") < 0.1
+    assert pick_share(picker, "cold") < 0.1
 
 
 def test_excluded_instance_is_not_picked():
@@ -56,7 +56,7 @@
 
 def test_leaving_instance_gets_no_calls_and_suspect_one_only_if_all_are():
     picker = make_picker(state("leaving", leaving=True), state("suspect", suspect=True))
-    assert share(picker, "suspect") == 1.0
+    assert pick_share(picker, "suspect") == 1.0
 
 
 def test_weighted_picks_are_in_proportion_to_slots():
