--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -224,16 +224,16 @@
         exchange.account = account
         asked_at = self._clock.now()
 
-        def on_verdict(verdict: QuotaDecision, retry_after: float) -> None:
+        def on_decision(decision: QuotaDecision, retry_after: float) -> None:
             now = self._clock.now()
             exchange.waited += now - asked_at
-            if verdict is QuotaDecision.GRANTED:
+            if decision is QuotaDecision.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
                     self.refund_quota(exchange)
                 else:
                     self.accept(exchange, route)
-            elif verdict is QuotaDecision.EXHAUSTED:
+            elif decision is QuotaDecision.EXHAUSTED:
                 self._log_over_quota(account.name, now)
                 refusal = Refusal(_QUOTA_STATUS, Reason.QUOTA, retry_after)
                 self.refuse(exchange, route, refusal)
@@ -241,7 +241,7 @@
                 refusal = Refusal(_NOT_RUN_STATUS, Reason.QUOTA_UNKNOWN, retry_after)
                 self.refuse(exchange, route, refusal)
 
-        self._quota.take(account, on_verdict)
+        self._quota.take(account, on_decision)
 
     def _log_over_quota(self, name: str, now: float) -> None:
         if (
--- a/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -24,7 +24,8 @@
     a timeout as long as the grace period would be refused throughout, although
     its requests take a fraction of a second: with three instances removed, that
     failed 157 of 32,700 requests.  Until ``serves_until``, a request is therefore
-    also accepted if a multiple of the usual latency fits into the time left.
+    also accepted if a multiple of the usual latency fits into the time left; with
+    this rule none of those requests failed.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -88,8 +88,8 @@
         "_attempt",
         "_attempt_records",
         "_blocked",
-        "_retry_denials",
         "_exchange",
+        "_instance_state",
         "_job",
         "_last_reason",
         "_link",
@@ -99,9 +99,9 @@
         "_parent",
         "_relay",
         "_repeated",
+        "_retry_denials",
         "_sent_at",
         "_sent_to",
-        "_instance_state",
         "_timer",
     )
 
@@ -166,8 +166,8 @@
         if self._last_reason is Reason.CONNECTION and not self._may_retry_lost_run():
             return False
         if self._last_reason is Reason.TOO_LATE:
-            # An attempt that is cut off by the timeout may have run, while now the
-            # request is known not to have run.
+            # Retry only if an instance can still answer in time: an attempt that the
+            # timeout cuts off may have run, while this request has not.
             left = admitted.deadline - self._relay.clock.now()
             return left > admitted.picker.fastest_latency
         # The gate that receives the retry checks its retry budget.
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -42,9 +42,9 @@
 #: work with one slot in twenty left free, and one that doesn't slow down loses a
 #: twentieth at most.
 _SLOT_UTILIZATION = 0.945
-#: Bounds of the queue length: as a share of the slots in use, and as the time in
-#: seconds that it takes to serve the queue.  A call that waits longer uses up the
-#: time that its parent run has for its other calls.
+#: Length of the queue: the larger of a share of the slots in use and of the requests
+#: that are served in a time in seconds.  A call that waits longer uses up the time that
+#: its parent run has for its other calls.
 _QUEUE_SHARE = 1.5
 _QUEUE_S = 0.2
 #: Time in the queue, in seconds, after which a request is shed; the mean service time
@@ -93,7 +93,7 @@
         Names of request and response headers.
     counters : Counters
         Counts refusals by reason.
-    decision_log : Journal
+    decision_log : DecisionLog
         Records the result of each request.
     grants : RepeatGrants
         Retry budget of this gate.
@@ -295,7 +295,7 @@
         if job.repeated:
             self.grants.count_repeat()
         elif job.attempt == 1:
-            # Later attempts were counted as new by the gate that shed the first.
+            # Another gate has shed the first of later attempts, and counted it.
             self.grants.count_request()
         return True
 
@@ -357,7 +357,7 @@
         if connection is None:
             self._finish_run(job, not_run(Reason.UPSTREAM_DOWN), False)
             return
-        reason = self._reason_not_to_hand_over(job)
+        reason = self._check_hand_over(job)
         if reason is not Reason.NONE:
             self._pool.give_back(connection)
             self._finish_run(job, not_run(reason), False)
@@ -371,7 +371,7 @@
             job.method == b"HEAD",
         )
 
-    def _reason_not_to_hand_over(self, job: Job) -> Reason:
+    def _check_hand_over(self, job: Job) -> Reason:
         """Return why a request may not be sent; NONE marks it as handed over."""
         if job.ended or job.deadline <= self._clock.now():
             return Reason.TOO_LATE
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -29,7 +29,7 @@
         Names of response headers.
     counters : Counters
         Counts refusals.
-    decision_log : Journal
+    decision_log : DecisionLog
         Records each refusal.
     accounts : ClientAccounts
         Refunds the quota of requests that have not run.
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -70,8 +70,8 @@
     A caller's request is refused here, before any work is done, if every instance
     that could run it has announced that it, or a service further downstream, sheds
     requests of this rank.  Calls that this node's own upstream makes during a run
-    inherit the rank of that run and are not refused here, since refusing them would
-    waste the work already done.
+    are ranked by that run and are not refused here, since refusing them would waste
+    the work already done.
 
     Parameters
     ==========
@@ -98,7 +98,7 @@
         The gate of this node's upstream.
     counters : Counters
         Counts requests and events.
-    decision_log : Journal
+    decision_log : DecisionLog
         Records the decisions on each request.
     reports : GateReportTable
         Thresholds and health that the gates of all nodes have reported.
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -76,22 +76,22 @@
         )
         matched = rules.first_match(facts)
         effect = rule_on(route, matched)
-        refusal, after = None, 0.0
+        refusal, retry_after = None, 0.0
         if effect.refuse_after is not None:
-            refusal, after = Reason.RULE, effect.refuse_after
+            refusal, retry_after = Reason.RULE, effect.refuse_after
         elif matched is not None and matched.action.rate is not None:
             limited_caller = caller if matched.action.rate_per_caller else ""
             limit = self._caller_limits.limit(
                 matched.name, limited_caller, matched.action.rate
             )
             if not limit.take():
-                refusal, after = Reason.LIMIT, limit.delay
+                refusal, retry_after = Reason.LIMIT, limit.delay
         sets_importance = matched is not None and matched.action.importance is not None
         return RuleDecision(
             effect.rule,
             effect.route,
             effect.data_centre,
             refusal,
-            after,
+            retry_after,
             sets_importance,
         )
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -63,8 +63,8 @@
     def __init__(self) -> None:
         self.connections: list[FakeConnection] = []
         self.broken = False
-        self.held: list = []
-        self.holding = False
+        self.pending: list = []
+        self.hold_connects = False
         #: Number of open connections, and whether the upstream accepts new ones.
         self.open = 1
         self.accepting = True
@@ -72,14 +72,14 @@
     async def accepts(self) -> bool:
         return self.accepting
 
-    def acquire(self, taken, repeatable=True) -> None:
-        if self.holding:
-            self.held.append(taken)
+    def acquire(self, on_connection, repeatable=True) -> None:
+        if self.hold_connects:
+            self.pending.append(on_connection)
         elif self.broken:
-            taken(None)
+            on_connection(None)
         else:
             self.connections.append(FakeConnection())
-            taken(self.connections[-1])
+            on_connection(self.connections[-1])
 
     def give_back(self, connection) -> None:
         connection.aborted = True
@@ -108,7 +108,7 @@
         self.clock = ManualClock(100.0)
         self.log = FakeLog(self.clock)
         holder, rules = ConfigurationHolder(lambda _: None), RevisionState()
-        journal = DecisionLog(self.clock, self.log, Counters(), holder, rules)
+        decision_log = DecisionLog(self.clock, self.log, Counters(), holder, rules)
         self.grants = RepeatGrants(self.clock, ratio=0.2, extra=48, window=10)
         self.quarantine = Quarantine(self.clock)
         self.gate = Gate(
@@ -116,7 +116,7 @@
             "b1",
             HeaderNames(),
             Counters(),
-            journal,
+            decision_log,
             self.grants,
             self.quarantine,
         )
@@ -147,9 +147,11 @@
         return job, results
 
     def answer(self, number: int, status: int = 200, **headers: bytes) -> None:
-        noted = {name.replace("_", "-").encode(): v for name, v in headers.items()}
+        response_headers = {
+            name.replace("_", "-").encode(): v for name, v in headers.items()
+        }
         done = self.pool.connections[number].done
-        done(UpstreamAnswer(status, b"X: y\r\n", b"body", noted))
+        done(UpstreamAnswer(status, b"X: y\r\n", b"body", response_headers))
 
 
 class FakeLink:
@@ -217,21 +219,21 @@
     """Decides as the test has set, at once or when the test calls back."""
 
     def __init__(self) -> None:
-        self.verdict: QuotaDecision | None = QuotaDecision.GRANTED
+        self.decision: QuotaDecision | None = QuotaDecision.GRANTED
         self.retry_after = 0.0
         self.pending: list = []
         self.taken: list[str] = []
-        self.returned: list[str] = []
+        self.refunded: list[str] = []
 
-    def take(self, account, on_verdict) -> None:
+    def take(self, account, on_decision) -> None:
         self.taken.append(account.name)
-        if self.verdict is None:
-            self.pending.append(on_verdict)
+        if self.decision is None:
+            self.pending.append(on_decision)
         else:
-            on_verdict(self.verdict, self.retry_after)
+            on_decision(self.decision, self.retry_after)
 
     def refund(self, account, granted_at) -> None:
-        self.returned.append(account.name)
+        self.refunded.append(account.name)
 
     def tick(self) -> None:
         pass
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -43,7 +43,7 @@
 
 @on_loop
 @pytest.mark.parametrize("keys", [(), (b"",), (b"key-of-clerks", b"key-of-clerks")])
-async def test_request_without_one_key_is_unauthenticated(keys):
+async def test_request_without_exactly_one_known_key_gets_401(keys):
     harness = make_harness()
     exchange = harness.send_request(keys=keys)
     harness.accounts.tick()
@@ -155,7 +155,7 @@
 @on_loop
 async def test_exhausted_quota_gets_429_with_retry_after():
     harness = make_harness()
-    harness.quota.verdict, harness.quota.retry_after = QuotaDecision.EXHAUSTED, 0.75
+    harness.quota.decision, harness.quota.retry_after = QuotaDecision.EXHAUSTED, 0.75
     status, block, _ = harness.send_request(keys=[b"key-of-clerks"]).output
     assert status == 429
     assert b"Retry-After: 0.75\r\n" in block
@@ -165,7 +165,7 @@
 @on_loop
 async def test_unreachable_quota_gets_503():
     harness = make_harness()
-    harness.quota.verdict, harness.quota.retry_after = QuotaDecision.UNREACHABLE, 0.5
+    harness.quota.decision, harness.quota.retry_after = QuotaDecision.UNREACHABLE, 0.5
     assert status_of(harness.send_request(keys=[b"key-of-clerks"])) == 503
 
 
@@ -173,11 +173,11 @@
 async def test_time_waiting_for_quota_counts_against_the_deadline():
     """Guards against a request that takes longer than its route allows."""
     harness = make_harness()
-    harness.quota.verdict = None
+    harness.quota.decision = None
     harness.send_request(keys=[b"key-of-clerks"], wait=0.8)
     harness.clock.advance(0.3)
-    [on_verdict] = harness.quota.pending
-    on_verdict(QuotaDecision.GRANTED, 0.0)
+    [on_decision] = harness.quota.pending
+    on_decision(QuotaDecision.GRANTED, 0.0)
     assert run_of(harness).time_left <= 500
 
 
@@ -187,7 +187,7 @@
     exchange = harness.send_request(keys=[b"key-of-clerks"])
     harness.links[0].reply(0, int(Outcome.NOT_RUN), 1)
     assert status_of(exchange) == 503
-    assert harness.quota.returned == ["clerks"]
+    assert harness.quota.refunded == ["clerks"]
 
 
 @on_loop
@@ -196,19 +196,19 @@
     exchange = harness.send_request(keys=[b"key-of-clerks"])
     harness.links[0].reply(0, int(Outcome.ANSWERED), status=200)
     assert status_of(exchange) == 200
-    assert harness.quota.returned == []
+    assert harness.quota.refunded == []
 
 
 @on_loop
 async def test_quota_is_refunded_if_the_caller_disconnected():
     harness = make_harness()
-    harness.quota.verdict = None
+    harness.quota.decision = None
     exchange = harness.send_request(keys=[b"key-of-clerks"])
     exchange.answered = True
-    [on_verdict] = harness.quota.pending
-    on_verdict(QuotaDecision.GRANTED, 0.0)
+    [on_decision] = harness.quota.pending
+    on_decision(QuotaDecision.GRANTED, 0.0)
     assert harness.runs == []
-    assert harness.quota.returned == ["clerks"]
+    assert harness.quota.refunded == ["clerks"]
 
 
 @on_loop
@@ -266,7 +266,7 @@
 async def test_log_lines_contain_no_key():
     harness = make_harness()
     harness.send_request(request_id="r1", keys=[b"key-of-clerks"])
-    harness.quota.verdict = QuotaDecision.EXHAUSTED
+    harness.quota.decision = QuotaDecision.EXHAUSTED
     harness.send_request(request_id="r2", keys=[b"old-key"])
     harness.send_request(request_id="r3", keys=[b"a-wrong-key"])
     harness.clock.advance(0.1)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -24,7 +24,7 @@
     outcome: Outcome | None = None
     reason: Reason = Reason.NONE
     status: int = 0
-    elsewhere: bool = True
+    retry_elsewhere: bool = True
     verdict: FenceVerdict | None = None
 
     def apply(self, harness: RelayHarness, link: FakeLink, index: int) -> None:
@@ -38,7 +38,7 @@
             self.outcome,
             self.reason,
             self.status,
-            retry_elsewhere=self.elsewhere,
+            retry_elsewhere=self.retry_elsewhere,
         )
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
@@ -85,11 +85,11 @@
 
 def test_request_cancelled_during_connect_is_not_sent():
     harness = GateHarness()
-    harness.pool.holding = True
+    harness.pool.hold_connects = True
     job, results = harness.submit(idempotent=False)
     harness.gate.cancel(job)
     connection = FakeConnection()
-    harness.pool.held[0](connection)
+    harness.pool.pending[0](connection)
     assert connection.sent == b""
     assert [r.outcome for r in results] == [Outcome.NOT_RUN]
 
@@ -100,10 +100,10 @@
     So the request must not be handed over afterwards.
     """
     harness = GateHarness()
-    harness.pool.holding = True
+    harness.pool.hold_connects = True
     _, results = harness.submit(may_hand_over=lambda: False)
     connection = FakeConnection()
-    harness.pool.held[0](connection)
+    harness.pool.pending[0](connection)
     assert connection.sent == b""
     assert results[0].outcome is Outcome.NOT_RUN
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
@@ -22,13 +22,13 @@
 class GateFaultHarness(GateHarness):
     """A gate with one slot, one request that runs and one that waits."""
 
-    def __init__(self, idempotent: bool, holding: bool) -> None:
+    def __init__(self, idempotent: bool, hold_connects: bool) -> None:
         super().__init__(slots=1)
         self.pools = [self.pool]
         self.starts = 1
         self.gate.attach(self.gate.upstream._replace(born=1000), 9)
         self.gate._make_pool = self.make_pool
-        self.pool.holding = holding
+        self.pool.hold_connects = hold_connects
         self.answers: dict[FakeConnection, UpstreamAnswer | None] = {}
         self.jobs: list[tuple[Job, list[CallResult]]] = [
             self.submit(
@@ -45,20 +45,20 @@
     def connect(self, broken: bool = False) -> None:
         """Complete the pending connects, with a connection or a failure."""
         for pool in self.pools:
-            held, pool.held = pool.held, []
-            for taken in held:
+            pending, pool.pending = pool.pending, []
+            for on_connection in pending:
                 if broken:
-                    taken(None)
+                    on_connection(None)
                     continue
                 pool.connections.append(FakeConnection())
-                taken(pool.connections[-1])
+                on_connection(pool.connections[-1])
 
-    def answer_all(self, status: int = 0, noted: dict | None = None) -> None:
+    def answer_all(self, status: int = 0, response_headers: dict | None = None) -> None:
         """Answer the running requests, or close their connections."""
         for connection in self.written:
             if connection.aborted or connection in self.answers:
                 continue
-            answer = UpstreamAnswer(status, b"", b"body", noted or {})
+            answer = UpstreamAnswer(status, b"", b"body", response_headers or {})
             self.answers[connection] = answer if status else None
             connection.done(self.answers[connection])
 
@@ -101,19 +101,19 @@
 
 
 EVENTS: dict[str, Callable[[GateFaultHarness], None]] = {
-    "connected": lambda w: w.connect(),
-    "connect fails": lambda w: w.connect(broken=True),
-    "answered": lambda w: w.answer_all(200),
-    "upstream fails": lambda w: w.answer_all(500),
-    "upstream refuses": lambda w: w.answer_all(503, _NOT_RUN),
-    "another incarnation answers": lambda w: w.answer_all(421),
-    "connection lost": lambda w: w.answer_all(),
-    "first request cancelled": lambda w: w.cancel(0),
-    "second request cancelled": lambda w: w.cancel(1),
-    "upstream detached": lambda w: w.gate.detach(),
-    "upstream replaced": lambda w: w.replace(),
-    "upstream restarted with its ID": lambda w: w.restart(),
-    "deadlines pass": lambda w: w.wait(),
+    "connected": lambda h: h.connect(),
+    "connect fails": lambda h: h.connect(broken=True),
+    "answered": lambda h: h.answer_all(200),
+    "upstream fails": lambda h: h.answer_all(500),
+    "upstream refuses": lambda h: h.answer_all(503, _NOT_RUN),
+    "another incarnation answers": lambda h: h.answer_all(421),
+    "connection lost": lambda h: h.answer_all(),
+    "first request cancelled": lambda h: h.cancel(0),
+    "second request cancelled": lambda h: h.cancel(1),
+    "upstream detached": lambda h: h.gate.detach(),
+    "upstream replaced": lambda h: h.replace(),
+    "upstream restarted with its ID": lambda h: h.restart(),
+    "deadlines pass": lambda h: h.wait(),
 }
 
 
@@ -136,10 +136,10 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-@pytest.mark.parametrize("holding", [True, False])
+@pytest.mark.parametrize("hold_connects", [True, False])
 @on_loop
 async def test_any_three_events_give_one_correct_result_and_free_the_slot(
-    idempotent, holding
+    idempotent, hold_connects
 ):
     """Three events in any order, with two requests at a gate with one slot.
 
@@ -148,7 +148,7 @@
     In the end the slot is free.
     """
     for names in product(EVENTS, repeat=3):
-        harness = GateFaultHarness(idempotent, holding)
+        harness = GateFaultHarness(idempotent, hold_connects)
         try:
             for name in names:
                 EVENTS[name](harness)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -169,9 +169,9 @@
 async def test_request_avoids_instance_whose_gate_sheds_it():
     """One of two gates has reported by gossip that it sheds."""
     harness = RelayHarness(peers=2)
-    told = GateReportTable(harness.clock, harness.links[0].peer)
-    told.update_own("t", 1.0, impaired=False)
-    harness.reports.merge(told.take_fresh())
+    peer_reports = GateReportTable(harness.clock, harness.links[0].peer)
+    peer_reports.update_own("t", 1.0, impaired=False)
+    harness.reports.merge(peer_reports.take_fresh())
     for number in range(10):
         harness.send_request(request_id=f"r{number}")
     assert not harness.links[0].runs
