--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -92,7 +92,7 @@
         names = list(view.members)
         full = encode_gossip(view.tick()[0].message, b"k")
         while view.pending_updates:
-            view._news()
+            view._next_updates()
         clock.advance(5)
         empty = encode_gossip(view.tick()[0].message, b"k")
         rows.append(
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/change.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/change.py
@@ -258,7 +258,7 @@
 class _TakesAnyRevision(RevisionState):
     """Takes older revisions as well."""
 
-    def _offer(self, record, rules):
+    def _apply_if_newer(self, record, rules):
         if record is not None:
             self._record = record
         return True
