--- a/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
@@ -13,7 +13,7 @@
     Tasks such as reading the store need only a few nodes, so that the load on the
     store does not grow with the fleet.  The holders are chosen in each data centre,
     so that one that is partitioned off still has some.  They are computed anew
-    whenever the view changes, so others take over from holders that are gone.
+    whenever the view changes, so dead holders are replaced.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
@@ -16,7 +16,7 @@
 #: Fraction of the exchanges made with a member, not a seed, if no seed is missing.
 _MEMBER_FRACTION = 0.9
 #: Fraction of the exchanges that still go to a missing seed once its pause has
-#: reached the interval: it may be gone for good, and views must still be compared.
+#: reached the interval: it may have been removed, and views must still be compared.
 _MISSING_SEED_FRACTION = 0.5
 #: Bounds of the random factor of each pause.
 _JITTER = (0.7, 1.3)
@@ -31,7 +31,7 @@
     A seed is missing while no known member has its address.  A missing seed is
     tried again soon, with pauses that double.  This matters if all nodes start
     together and a seed is the last to listen: the others have found each other,
-    and the seed, which has no seed of its own, knows nobody and waits to be
+    and the seed, which has no seed of its own, knows no other node and waits to be
     asked.  If missing seeds were asked no more often than members, it would stay
     alone for minutes, and its upstream would get no requests.
 
@@ -94,7 +94,7 @@
             return self._random.choice(others)
         seeds = [seed for seed in self._seeds if seed != own]
         # Seeds are also asked if none is missing: two groups of nodes that have
-        # forgotten each other can find each other in no other way.
+        # dropped each other's records can find each other in no other way.
         return self._random.choice(seeds) if seeds else None
 
     def end(self, me: Member, present: Iterable[Member]) -> None:
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_role_assignment.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_role_assignment.py
@@ -45,12 +45,12 @@
     """All holders of one data centre are killed at the same moment."""
     members = members_of(100)
     assignment, view = assignment_of(members)
-    gone = [
+    dead = [
         name for name in assignment.names if view.members[name].data_centre == "dc1"
     ]
-    view.merge(view.members[name].replace(status=MemberStatus.DEAD) for name in gone)
+    view.merge(view.members[name].replace(status=MemberStatus.DEAD) for name in dead)
     assert len(assignment.names) == 20
-    assert not set(gone) & set(assignment.names)
+    assert not set(dead) & set(assignment.names)
 
 
 def test_node_that_knows_no_other_is_a_holder():
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
@@ -1,4 +1,4 @@
-"""Times and targets of view exchanges, with seeds that are up, late or gone."""
+"""Times and targets of view exchanges, with seeds that are up, late or removed."""
 
 from random import Random
 
@@ -42,7 +42,7 @@
     assert tries[1] - tries[0] < 1.0
 
 
-def test_seed_that_is_gone_for_good_is_tried_a_bounded_number_of_times():
+def test_seed_that_was_removed_is_tried_a_bounded_number_of_times():
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(1), [SEED])
     exchanges = exchanges_of(schedule, clock, [member(1), member(2)], 600)
--- a/packages/rattanfork-core/rattanfork_core/revision/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/__init__.py
@@ -1,4 +1,4 @@
-"""Accepted revisions of rules and configuration: commit, polling and freshness."""
+"""Revisions of the rules and configuration that are applied to requests."""
 
 from rattanfork_core.revision.commit import (
     CommitMachine,
