--- a/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
@@ -27,8 +27,8 @@
     Explanation
     ===========
 
-    Nodes normally learn of changes by a watch on the store, or from
-    peers.  A watch that the store has lost looks like one without events, and if all
+    Nodes normally learn of changes by a watch on the store, or from peers.  A watch
+    that the store has lost looks like one without events, and if all
     watches are lost at once, no peer has a newer version either.  So nodes also ask
     the store, with feedback suppression [1]_: each node of a small group waits for a
     random time after the last confirmation, then asks the store and sends the
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_confirmation_schedule.py
@@ -87,15 +87,15 @@
     assert group.requests <= 2.5 * _DURATION_S
 
 
-@pytest.mark.parametrize("share", [0.3, 0.7])
-def test_nodes_cut_off_from_the_store_do_not_raise_the_age_at_others(share):
+@pytest.mark.parametrize("fraction", [0.3, 0.7])
+def test_nodes_cut_off_from_the_store_do_not_raise_the_age_at_others(fraction):
     """The store answers some nodes and refuses the others.
 
     Refused nodes pause after each failure, so that another node of the group asks
     before any confirmation is too old.
     """
     group = Group(12, seed=3)
-    group.cut_off = set(range(int(12 * share)))
+    group.cut_off = set(range(int(12 * fraction)))
     group.run(_DURATION_S)
     assert group.max_age <= _MAX_AGE_S
 
@@ -133,7 +133,7 @@
 
 
 def test_first_confirmation_may_be_older_than_the_node():
-    """Its age counts from the store's reply, not from when it was received."""
+    """A node that has just started must not cut the age to its own running time."""
     clock = ManualClock()
     schedule = ConfirmationSchedule(clock, Random(1))
     clock.advance(0.1)
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
@@ -74,7 +74,7 @@
 
 
 @given(FAULTS)
-def test_accepted_change_was_committed_exactly_once(faults):
+def test_change_is_committed_at_most_once(faults):
     table = FakeTable()
     outcome = commit(table, "op1", faults)
     assert table.accepted.count("op1") <= 1
@@ -84,7 +84,7 @@
 
 
 @given(FAULTS, st.integers(1, 3))
-def test_one_of_two_concurrent_commits_is_accepted(faults, place):
+def test_one_of_two_concurrent_commits_is_accepted(faults, position):
     # Guards against a lost update: if both operators were told that their change
     # was accepted, one of the changes would be overwritten unnoticed.
     table = FakeTable()
@@ -93,7 +93,7 @@
     def other() -> None:
         theirs.append(commit(table, "theirs", []))
 
-    idle = [lambda: None] * (place - 1)
+    idle = [lambda: None] * (position - 1)
     mine = commit(table, "mine", faults, [*idle, other])
     statuses = [o.status for o in (mine, *theirs)]
     if mine.status is CommitStatus.CONFLICT:
