--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/breaks.py
@@ -85,7 +85,7 @@
 class _NeverLeaves(AdmissionController):
     """Goes on taking work."""
 
-    def leave(self):
+    def drain(self):
         return []
 
 
