--- a/packages/rattanfork-core/rattanfork_core/budgets/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""The account of a request: its deadline and its conserved extra attempts."""
+"""Deadlines, retry budgets and rate limits that bound what a request may cost."""
 
 from rattanfork_core.budgets.caller_retry_budget import CallerRetryBudget
 from rattanfork_core.budgets.caller_table import CallerTable
--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
@@ -1,19 +1,19 @@
-"""Bound on retries as a fraction of first attempts."""
+"""Retry budget as a fraction of first attempts."""
 
 from rattanfork_core.clock import Clock
 
 
 class CallerRetryBudget:
-    """Retries allowed to one caller or towards one service.
+    """Token bucket for the retries of one caller or towards one service.
 
     Explanation
     ===========
 
-    The account bounds the retries of one request.  In a total outage every
-    request would still spend its whole account, which multiplies the load by
-    a constant just when there is least capacity.  The budget lets retries be
-    only a fraction of recent first attempts, plus a small steady trickle so
-    that a quiet caller can retry at all.
+    The request budget bounds the retries of one request.  In a total outage
+    each request would still use all of them, which multiplies the load by a
+    constant when capacity is lowest.  This budget limits retries to a fraction
+    of recent first attempts, plus a small constant rate so that a caller with
+    little traffic can retry at all.
 
     Parameters
     ==========
@@ -21,11 +21,11 @@
     clock : Clock
         Source of the current time.
     fraction : float
-        Retries earned by each first attempt.
+        Retry tokens added by each first attempt.
     trickle : float
-        Retries earned each second in any case.
+        Retry tokens added per second regardless of traffic.
     burst : float
-        Most retries that can be saved up.
+        Capacity of the bucket, in tokens.
 
     Examples
     ========
@@ -39,7 +39,7 @@
     True
     """
 
-    __slots__ = ("_burst", "_clock", "_fraction", "_saved", "_then", "_trickle")
+    __slots__ = ("_burst", "_clock", "_fraction", "_saved", "_updated_at", "_trickle")
 
     def __init__(
         self,
@@ -53,18 +53,18 @@
         self._trickle = trickle
         self._burst = burst
         self._saved = burst
-        self._then = clock.now()
+        self._updated_at = clock.now()
 
     def earn(self) -> None:
-        """Count one first attempt."""
+        """Add the tokens of one first attempt."""
         self._saved = min(self._burst, self._saved + self._fraction)
 
     def spend(self) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Take one retry token; return False if there is none."""
         now = self._clock.now()
-        earned = (now - self._then) * self._trickle
+        earned = (now - self._updated_at) * self._trickle
         self._saved = min(self._burst, self._saved + earned)
-        self._then = now
+        self._updated_at = now
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_table.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_table.py
@@ -1,4 +1,4 @@
-"""What a node remembers of callers and their recent requests."""
+"""Per-caller retry budgets, rate limits and recent request IDs of a node."""
 
 from collections import OrderedDict
 
@@ -8,15 +8,15 @@
 
 
 class CallerTable:
-    """Retry budgets, rate limits and recent request IDs, in bounded memory.
+    """Bounded tables of retry budgets, rate limits and recent request IDs.
 
     Explanation
     ===========
 
-    A request ID that comes again from the same caller joins the account of
-    the first: it gets no new extra attempts, and counts against the caller's
-    retry budget.  From another caller it is refused, for answers and
-    decisions must not cross between callers.
+    A request ID that the same caller sends again counts as a retry: it gets no
+    new extra attempts and is charged to the caller's retry budget.  The same ID
+    from another caller is refused, so that no caller receives the response or
+    the decisions made for another.
 
     Parameters
     ==========
@@ -24,22 +24,22 @@
     clock : Clock
         Source of the current time.
     most : int
-        Most callers, and most request IDs, remembered.
+        Maximum number of entries in each table.
     """
 
     def __init__(self, clock: Clock, most: int = 20_000) -> None:
         self._clock = clock
-        self._most = most
+        self._max_entries = most
         self._budgets: OrderedDict[str, CallerRetryBudget] = OrderedDict()
         self._limits: OrderedDict[tuple[str, str], RateLimit] = OrderedDict()
         self._recent: OrderedDict[str, tuple[str, int]] = OrderedDict()
 
     def count_attempt(self, request_id: str, caller: str) -> int | None:
-        """Return the number of this attempt, or None for another's ID."""
+        """Return the attempt number, or None if another caller used this ID."""
         known = self._recent.get(request_id)
         if known is None:
             self._recent[request_id] = (caller, 1)
-            if len(self._recent) > self._most:
+            if len(self._recent) > self._max_entries:
                 self._recent.popitem(last=False)
             return 1
         first_caller, attempts = known
@@ -49,22 +49,22 @@
         return attempts + 1
 
     def retry_budget(self, name: str) -> CallerRetryBudget:
-        """Return the retry budget of a caller or a target."""
+        """Return the retry budget of a caller or a target service."""
         budget = self._budgets.get(name)
         if budget is None:
             budget = CallerRetryBudget(self._clock)
             self._budgets[name] = budget
-            if len(self._budgets) > self._most:
+            if len(self._budgets) > self._max_entries:
                 self._budgets.popitem(last=False)
         return budget
 
     def rate_limit(self, rule: str, caller: str, rate: float) -> RateLimit:
-        """Return the rate limit of a rule, for one caller or "" for all."""
+        """Return the rate limit of a rule for a caller; "" stands for all callers."""
         key = (f"{rule}:{rate:g}", caller)
         limit = self._limits.get(key)
         if limit is None:
             limit = RateLimit(self._clock, rate)
             self._limits[key] = limit
-            if len(self._limits) > self._most:
+            if len(self._limits) > self._max_entries:
                 self._limits.popitem(last=False)
         return limit
--- a/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
@@ -1,30 +1,32 @@
-"""Repeats that the gate of a service grants to those who call it."""
+"""Retries that one gate of a service grants to the nodes that call it."""
 
 from rattanfork_core.budgets.service_retry_budget import ServiceRetryBudget
 from rattanfork_core.clock import Clock
 
-#: Part of the repeats allowed by a gate's arrivals that is granted.  The rest covers
-#: that gates see their busiest window at different times.
-_GRANTED = 0.9
-#: Part of the fixed allowance that is granted: nodes may differ for a while in how
-#: many gates share it.
-_GRANTED_EXTRA = 0.75
+#: Fraction of the traffic-based allowance that a gate grants.  Gates reach their peak
+#: windows at different times, so their full allowances could exceed the total bound.
+_RATIO_SHARE = 0.9
+#: Fraction of the fixed allowance that is granted: nodes may temporarily disagree
+#: on how many gates share it.
+_EXTRA_SHARE = 0.75
 
 
 class GateRetryBudget:
-    """Repeated arrivals that one gate grants, as its part of its service's bound.
+    """One gate's part of the bound on retries to its service.
 
     Explanation
     ===========
 
-    The bound on repeated arrivals holds for the sum over the fleet.  Divided among
-    the nodes that send, it comes to one or two repeats each in a large fleet, spent
-    by chance at some and never at most.  Here it is divided among the gates of the
-    called service: they are few, all arrivals pass them, and each grants repeats out
-    of the arrivals that it sees itself, so the sum holds without any message.
+    The bound on retries holds for the sum over all nodes.  Divided among the sending
+    nodes of a large fleet, it allows each only one or two retries: some use them up
+    by chance and most never need them.  It is divided among the gates of the called
+    service instead.  They are few, all requests pass through them, and each grants
+    retries in proportion to the requests that it receives, so the sum stays within
+    the bound without any communication.
 
-    Where more is wanted than there is, the most important get all that they want.
-    A gate of a few sees enough of what is wanted to tell how far that reaches.
+    If demand exceeds the budget, the most important requests are granted all their
+    retries.  With few gates, each sees enough of the demand to determine the rank
+    up to which this is possible.
 
     Parameters
     ==========
@@ -32,9 +34,9 @@
     clock : Clock
         Source of the current time.
     ratio : float
-        Repeats that the service may get for each request.
+        Retries allowed per request to the service.
     extra : float
-        Repeats that it may get in each window besides, over all its gates.
+        Additional retries allowed in each window, over all gates of the service.
     window : float
         Length of the window, in seconds.
 
@@ -52,42 +54,44 @@
     __slots__ = ("_budget", "_extra", "_gates")
 
     def __init__(self, clock: Clock, ratio: float, extra: float, window: float) -> None:
-        self._extra = extra * _GRANTED_EXTRA
+        self._extra = extra * _EXTRA_SHARE
         self._gates = 1
-        self._budget = ServiceRetryBudget(clock, ratio * _GRANTED, self._extra, window)
+        self._budget = ServiceRetryBudget(
+            clock, ratio * _RATIO_SHARE, self._extra, window
+        )
 
     @property
     def allowed(self) -> float:
-        """Repeats that a window may hold now."""
+        """Retries allowed in the current window."""
         return self._budget.allowed
 
     @property
     def spent(self) -> int:
-        """Repeats in the window that ends now."""
+        """Retries in the window that ends now."""
         return self._budget.spent
 
     def set_gate_count(self, gates: int) -> None:
-        """Take note of how many gates the service has."""
+        """Set the number of gates that share the fixed allowance."""
         if gates != self._gates:
             self._gates = max(1, gates)
             self._budget.extra = self._extra / self._gates
 
     def count_request(self) -> None:
-        """Count a request that arrives for the first time."""
+        """Count a first attempt."""
         self._budget.count_request()
 
     def count_retry(self) -> None:
-        """Count a call that a repeated run makes again; nobody can decide on it."""
+        """Count a call made again by a retried run; it takes part without a grant."""
         self._budget.count_retry()
 
     def grant(self, rank: float) -> bool:
-        """Return whether a request of a rank may arrive once more."""
+        """Return whether a request of the given rank may be retried."""
         return self._budget.spend(rank)
 
     def refund(self) -> None:
-        """Take back a grant: the request was not handed over after all."""
+        """Return a granted retry that was not passed to the upstream."""
         self._budget.refund()
 
     def on_attempt(self, lost: bool) -> None:
-        """Count an arrival, and whether it came to nothing."""
+        """Count an attempt, and whether it failed."""
         self._budget.on_attempt(lost)
--- a/packages/rattanfork-core/rattanfork_core/budgets/rate_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/rate_limit.py
@@ -4,7 +4,7 @@
 
 
 class RateLimit:
-    """A token bucket.
+    """A token bucket with one token per request.
 
     Parameters
     ==========
@@ -12,9 +12,9 @@
     clock : Clock
         Source of the current time.
     rate : float
-        Requests allowed each second.
+        Requests allowed per second.
     burst : float
-        Requests allowed at once after a quiet time.
+        Capacity of the bucket, in requests; by default one second's worth.
 
     Examples
     ========
@@ -25,14 +25,14 @@
     (True, False)
     """
 
-    __slots__ = ("_burst", "_clock", "_rate", "_then", "_tokens")
+    __slots__ = ("_burst", "_clock", "_rate", "_updated_at", "_tokens")
 
     def __init__(self, clock: Clock, rate: float, burst: float | None = None) -> None:
         self._clock = clock
         self._rate = rate
         self._burst = max(1.0, rate if burst is None else burst)
         self._tokens = self._burst
-        self._then = clock.now()
+        self._updated_at = clock.now()
 
     @property
     def delay(self) -> float:
@@ -40,10 +40,12 @@
         return max(0.0, (1.0 - self._tokens) / self._rate) if self._rate else 60.0
 
     def take(self) -> bool:
-        """Take one token, if there is one."""
+        """Take one token; return False if there is none."""
         now = self._clock.now()
-        self._tokens = min(self._burst, self._tokens + (now - self._then) * self._rate)
-        self._then = now
+        self._tokens = min(
+            self._burst, self._tokens + (now - self._updated_at) * self._rate
+        )
+        self._updated_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/rattanfork-core/rattanfork_core/budgets/request_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/request_budget.py
@@ -1,20 +1,20 @@
-"""Deadline and extra attempts of one request at one node."""
+"""Deadline and retry tokens of one request at one node."""
 
 from rattanfork_core.clock import Clock
 
 
 class RequestBudget:
-    """What a request may still spend at this node.
+    """Deadline and remaining extra attempts of a request at this node.
 
     Explanation
     ===========
 
-    Extra attempts are tokens that are conserved.  A call to a deeper service
-    is lent a share of what is left, and its reply brings back what it did
-    not use.  Tokens are never made: a reply that claims to bring back more
-    than was lent is cut to what was lent, and a share whose reply never
-    comes is spent.  So the extra attempts made anywhere in the tree of calls
-    are at most the grant of its root, whatever its depth and fan-out.
+    Extra attempts are tokens, and their number never grows.  A downstream call
+    receives a share of the remaining tokens, and its reply returns the unused
+    ones.  A reply that claims more than the share is capped at the share, and
+    the tokens of a call without a reply count as spent.  Hence the extra
+    attempts in the whole call tree never exceed the budget of its root,
+    whatever the depth and fan-out.
 
     Parameters
     ==========
@@ -22,19 +22,19 @@
     clock : Clock
         Source of the current time.
     deadline : float
-        Time on ``clock`` by which the answer must be out, in seconds.
+        Time on ``clock`` by which the response must be sent, in seconds.
     attempts : int
-        Extra attempts that this node may spend or lend.
+        Extra attempts that this node may make or delegate.
 
     Examples
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> account = RequestBudget(ManualClock(), deadline=2.0, attempts=3)
-    >>> account.delegate()
+    >>> budget = RequestBudget(ManualClock(), deadline=2.0, attempts=3)
+    >>> budget.delegate()
     2
-    >>> account.reclaim(lent=2, unused=9)
-    >>> account.attempts
+    >>> budget.reclaim(delegated=2, unused=9)
+    >>> budget.attempts
     3
     """
 
@@ -47,12 +47,12 @@
 
     @property
     def attempts(self) -> int:
-        """Extra attempts left here."""
+        """Extra attempts left at this node."""
         return self._attempts
 
     @property
     def deadline(self) -> float:
-        """Time by which the answer must be out, in seconds of the clock."""
+        """Time on the clock by which the response must be sent, in seconds."""
         return self._deadline
 
     @property
@@ -66,24 +66,24 @@
         return self._clock.now() >= self._deadline
 
     def spend(self) -> bool:
-        """Spend one extra attempt; return whether there was one."""
+        """Use one extra attempt; return False if none is left."""
         if self._attempts < 1:
             return False
         self._attempts -= 1
         return True
 
     def delegate(self) -> int:
-        """Take out the share for one deeper call: half, rounded up.
+        """Remove and return the share of a downstream call: half, rounded up.
 
-        The other half stays for a retry at this hop, should the call and
-        its share be lost together.
+        The rest allows a retry at this hop if the call is lost together with
+        its share.
         """
         share = (self._attempts + 1) // 2
         self._attempts -= share
         return share
 
-    def reclaim(self, lent: int, unused: int) -> None:
-        """Return what a deeper call did not use of its share."""
-        # A reply may be malformed or doubled by a faulty peer: tokens beyond
-        # the loan would let the tree grow more retries than its root allowed.
-        self._attempts += max(0, min(lent, unused))
+    def reclaim(self, delegated: int, unused: int) -> None:
+        """Put back the tokens that a downstream call did not use."""
+        # A faulty peer may send a malformed or duplicate reply; accepting more
+        # tokens than were delegated would exceed the root's retry limit.
+        self._attempts += max(0, min(delegated, unused))
--- a/packages/rattanfork-core/rattanfork_core/budgets/retry_demand.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/retry_demand.py
@@ -1,21 +1,21 @@
-"""How many repeats are wanted, by importance."""
+"""Demand for retries by rank."""
 
 from math import exp
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.importance import RANK_LIMIT
 
-#: Parts of each level of importance that are counted by themselves.
-_PER_LEVEL = 16
-#: Seconds over which what is wanted is averaged: long against the time between
-#: two calls of one run, short against the time for which services refuse.
-_MEMORY = 0.7
-#: Seconds between two looks at the time that has passed.
-_STEP = 0.05
+#: Histogram bins per level of importance.
+_BINS_PER_LEVEL = 16
+#: Time constant of the average: longer than the interval between two calls of one
+#: run, shorter than a typical overload.
+_AVERAGING_SECONDS = 0.7
+#: Minimum interval between two decays of the averages.
+_DECAY_INTERVAL_SECONDS = 0.05
 
 
 class RetryDemand:
-    """Rate of the repeats that are wanted, by rank, averaged over a short time.
+    """Exponentially decaying histogram of requested retries per second, by rank.
 
     Parameters
     ==========
@@ -28,54 +28,54 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> wants = RetryDemand(clock)
+    >>> demand = RetryDemand(clock)
     >>> for _ in range(200):
     ...     clock.advance(0.05)
-    ...     wants.add(0.5)
-    ...     wants.add(2.5)
-    >>> round(wants.rank_at_rate(30.0), 1)
+    ...     demand.add(0.5)
+    ...     demand.add(2.5)
+    >>> round(demand.rank_at_rate(30.0), 1)
     2.5
     """
 
-    __slots__ = ("_clock", "_counts", "_then")
+    __slots__ = ("_clock", "_counts", "_updated_at")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._counts = [0.0] * (RANK_LIMIT * _PER_LEVEL)
-        self._then = clock.now()
+        self._counts = [0.0] * (RANK_LIMIT * _BINS_PER_LEVEL)
+        self._updated_at = clock.now()
 
     @property
     def any_recent(self) -> bool:
-        """Whether anything was wanted lately."""
-        self._fade()
+        """Whether any retry was requested recently."""
+        self._decay()
         return any(self._counts)
 
     def add(self, rank: float) -> None:
-        """Count a repeat that is wanted for a request of a rank."""
-        self._fade()
-        place = min(len(self._counts) - 1, int(rank * _PER_LEVEL))
-        self._counts[place] += 1.0 / _MEMORY
+        """Count a requested retry of a request with the given rank."""
+        self._decay()
+        bin_index = min(len(self._counts) - 1, int(rank * _BINS_PER_LEVEL))
+        self._counts[bin_index] += 1.0 / _AVERAGING_SECONDS
 
     def rank_at_rate(self, rate: float) -> float:
-        """Return the rank below which no more than a rate is wanted in a second.
+        """Return the rank below which demand is at most ``rate`` retries per second.
 
-        Within the part that fits in part, ranks are taken to be spread evenly,
-        as those of equals are.  A single want always fits: where little is sent,
-        one looks like a high rate.
+        Ranks are assumed to be evenly distributed within a bin, which they are for
+        requests of equal importance.  One retry always fits in addition: at low
+        traffic a single one looks like a high rate.
         """
-        left = rate + 1.0 / _MEMORY
-        for place, wanted in enumerate(self._counts):
-            if wanted > left:
-                return (place + left / wanted) / _PER_LEVEL
-            left -= wanted
+        left = rate + 1.0 / _AVERAGING_SECONDS
+        for bin_index, demand in enumerate(self._counts):
+            if demand > left:
+                return (bin_index + left / demand) / _BINS_PER_LEVEL
+            left -= demand
         return float(RANK_LIMIT)
 
-    def _fade(self) -> None:
-        passed = self._clock.now() - self._then
-        if passed < _STEP:
+    def _decay(self) -> None:
+        elapsed = self._clock.now() - self._updated_at
+        if elapsed < _DECAY_INTERVAL_SECONDS:
             return
-        self._then = self._clock.now()
-        kept = exp(-passed / _MEMORY)
+        self._updated_at = self._clock.now()
+        factor = exp(-elapsed / _AVERAGING_SECONDS)
         self._counts = [
-            count * kept if count * kept > 1e-3 else 0.0 for count in self._counts
+            count * factor if count * factor > 1e-3 else 0.0 for count in self._counts
         ]
--- a/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
@@ -1,4 +1,4 @@
-"""A request that runs at the upstream, as its child calls see it."""
+"""State that the child calls of a running request share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,19 +9,19 @@
 
 @dataclass(slots=True, eq=False)
 class RunContext:
-    """What calls to deeper services inherit from the run they belong to.
+    """A request running at the upstream, as its downstream calls inherit it.
 
     Parameters
     ==========
 
     token : str
-        Opaque name, sent to the upstream in ``Rattanfork-Context``.
-    deep_cut : float
-        Lowest threshold heard from the deeper services this run called.
-    refused_retry_after : float
-        Longest time that a refused child call was told to stay away.
-    cancels : dict
-        For each child call under way, what stops it.
+        Opaque identifier, sent to the upstream in ``Rattanfork-Context``.
+    downstream_threshold : float
+        Lowest admission threshold received from the services that this run called.
+    downstream_retry_after : float
+        Longest ``Retry-After`` of a refused child call, in seconds.
+    cancel_callbacks : dict
+        For each outstanding child call, the function that cancels it.
     """
 
     token: str
@@ -35,15 +35,15 @@
     cancel_callbacks: dict[int, Callable[[], None]] = field(default_factory=dict)
     ended: bool = False
 
-    def on_threshold(self, cut: float) -> None:
-        """Take in the threshold of a deeper service."""
-        self.downstream_threshold = min(self.downstream_threshold, cut)
+    def on_threshold(self, threshold: float) -> None:
+        """Record the admission threshold of a downstream service."""
+        self.downstream_threshold = min(self.downstream_threshold, threshold)
 
     def end(self) -> int:
-        """End the run and stop its children; return how many were stopped.
+        """End the run and cancel its child calls; return how many there were.
 
-        A half-built screen that nobody waits for would go on to take
-        capacity from the deeper services.
+        Nobody waits for their results, but they would still use capacity of
+        the downstream services.
         """
         self.ended = True
         cancels = list(self.cancel_callbacks.values())
--- a/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -1,50 +1,52 @@
-"""Bound on the repeated arrivals of one service."""
+"""Bound on the retries that reach one service."""
 
 from rattanfork_core.budgets.retry_demand import RetryDemand
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.importance import RANK_LIMIT, Importance
 
-#: Parts into which the window is divided.
-_PARTS = 10
-#: Weight of one attempt in the share of those that came to nothing.
-_WEIGHT = 0.02
-#: Rank below which requests are important: postings, and what somebody waits for.
-_IMPORTANT = float(Importance.NORMAL)
-#: Shortest time, as a part of the window, over which the repeats that are left
-#: are spread: refusals that last no longer are made good for all.
-_SHORTEST_SPREAD = 0.15
-#: The same for the important while others are held back.  What they leave of the
-#: budget in that time is not kept for later: no trouble lasts for ever.
+#: Number of buckets in the sliding window.
+_BUCKETS = 10
+#: Weight of one attempt in the moving average of the failure rate.
+_FAILURE_WEIGHT = 0.02
+#: Rank below which requests count as important: writes, and requests that a user
+#: waits for.
+_IMPORTANT_RANK = float(Importance.NORMAL)
+#: Minimum fraction of the window over which the remaining retries are spread:
+#: failures shorter than this are retried for all requests.
+_MIN_SPREAD = 0.15
+#: Fraction of the window over which important requests may use the remaining
+#: retries while others are denied.  No retries are reserved beyond it, since
+#: overloads are not expected to last.
 _IMPORTANT_SPREAD = 0.35
-#: Longest time of that kind: what was spent a window ago comes back.
-_LONGEST_SPREAD = 0.6
+#: Maximum fraction of the window: older retries leave the sliding window meanwhile.
+_MAX_SPREAD = 0.6
 
 
 class ServiceRetryBudget:
-    """Repeats that one node may add to the arrivals of a service.
+    """Limits the retries that one node sends to, or admits for, a service.
 
     Explanation
     ===========
 
-    The bound is a share of the requests of a window, or of the one before it
-    if that had more: a service that begins to refuse may be asked again at
-    the rate of its usual traffic, although callers have meanwhile been turned
-    away.  Both are counted in a sliding window, so that no span of its length
-    holds more than its share.
-
-    What is left is spread over a time that grows with the repeats that a call
-    needs until it gets through.  Where few attempts come to nothing, each repeat
-    saves a request that was worked for, and none is held back.  Where most do,
-    several are needed for each, for as long as the trouble lasts; only what is
-    important may use the budget faster.
-
-    If more is wanted in that time than there is, the most important get all
-    that they want, as observed, and the others nothing.  A request whose run
-    makes several calls is only saved if each of them is, so repeats shared out
-    evenly save hardly any: with half of the attempts refused and a fifth
-    allowed as repeats, one run of four calls in twenty ends well, against one
-    in five if the same requests get theirs at each call.  The rank orders
-    equals by fate, which is the same all along a chain.
+    The bound is a fraction of the requests in the current window, or in the
+    previous one if that had more: when a service starts to shed load and callers
+    are refused early, retries are still allowed in proportion to its normal
+    traffic.  Requests and retries are counted in sliding windows, so that no
+    interval of that length exceeds the bound.
+
+    The remaining budget is spread over a time that grows with the expected number
+    of retries until a call succeeds.  At a low failure rate each retry saves a
+    request on which work was already done, so none is denied.  At a high failure
+    rate each request needs several retries for as long as the overload lasts, so
+    only important requests may use the budget faster.
+
+    If the demand in that time exceeds the budget, the most important requests get
+    all their retries and the others none.  A request whose run makes several calls
+    succeeds only if each of them does, so distributing retries evenly saves hardly
+    any: with half of the attempts refused and a fifth allowed as retries, one run
+    of four calls in twenty succeeds, against one in five if the same requests are
+    granted retries at each call.  Within one importance the rank is a hash of the
+    request (its fate), which is the same along the whole call chain.
 
     Parameters
     ==========
@@ -52,9 +54,9 @@
     clock : Clock
         Source of the current time.
     ratio : float
-        Repeats for each request.
+        Retries allowed per request.
     extra : float
-        Repeats in each window besides.
+        Additional retries allowed in each window.
     window : float
         Length of the window, in seconds.
 
@@ -71,13 +73,13 @@
 
     __slots__ = (
         "_clock",
-        "_part",
-        "_place",
+        "_bucket_seconds",
+        "_bucket",
         "_ratio",
-        "_repeats",
+        "_retries",
         "_requests",
-        "_share_lost",
-        "_wants",
+        "_failure_rate",
+        "_demand",
         "_window",
         "extra",
     )
@@ -85,89 +87,94 @@
     def __init__(self, clock: Clock, ratio: float, extra: float, window: float) -> None:
         self._clock = clock
         self._ratio = ratio
-        #: Repeats in each window besides; changes with the number of nodes.
+        #: Additional retries allowed per window; depends on the number of nodes.
         self.extra = extra
         self._window = window
-        self._part = window / _PARTS
-        self._place = int(clock.now() / self._part)
-        # Of requests two windows are kept, the newest part first.
-        self._requests = [0] * (2 * _PARTS)
-        self._repeats = [0] * (_PARTS + 1)
-        self._share_lost = 0.0
-        self._wants = RetryDemand(clock)
+        self._bucket_seconds = window / _BUCKETS
+        self._bucket = int(clock.now() / self._bucket_seconds)
+        # Newest bucket first.  Requests are kept for two windows, because the
+        # previous window may set the bound.
+        self._requests = [0] * (2 * _BUCKETS)
+        self._retries = [0] * (_BUCKETS + 1)
+        self._failure_rate = 0.0
+        self._demand = RetryDemand(clock)
 
     @property
     def allowed(self) -> float:
-        """Repeats that a window may hold now."""
-        self._move()
+        """Retries allowed in the current window."""
+        self._advance()
         requests = self._requests
-        most = max(
-            sum(requests[:_PARTS]),
-            sum(requests[_PARTS // 2 : _PARTS + _PARTS // 2]),
-            sum(requests[_PARTS:]),
+        peak = max(
+            sum(requests[:_BUCKETS]),
+            sum(requests[_BUCKETS // 2 : _BUCKETS + _BUCKETS // 2]),
+            sum(requests[_BUCKETS:]),
         )
-        return self._ratio * most + self.extra
+        return self._ratio * peak + self.extra
 
     @property
     def spent(self) -> int:
-        """Repeats in the window that ends now."""
-        self._move()
-        return sum(self._repeats)
+        """Retries in the window that ends now."""
+        self._advance()
+        return sum(self._retries)
 
     @property
     def rank_cutoff(self) -> float:
-        """Rank below which all repeats that are wanted are granted."""
-        if not self._wants.any_recent:
+        """Rank below which all requested retries are granted."""
+        if not self._demand.any_recent:
             return float(RANK_LIMIT)
-        # The repeats that one call needs until it gets through.
-        needed = self._share_lost / max(1e-3, 1.0 - self._share_lost)
-        spread = min(_LONGEST_SPREAD, max(_SHORTEST_SPREAD, needed))
-        carried = self._wants.rank_at_rate(self._pace(spread))
-        if carried >= _IMPORTANT or spread <= _IMPORTANT_SPREAD:
-            return carried
-        important = self._wants.rank_at_rate(self._pace(_IMPORTANT_SPREAD))
-        return max(carried, min(important, _IMPORTANT))
+        # Expected number of retries until a call succeeds.
+        needed = self._failure_rate / max(1e-3, 1.0 - self._failure_rate)
+        spread = min(_MAX_SPREAD, max(_MIN_SPREAD, needed))
+        cutoff = self._demand.rank_at_rate(self._retries_per_second(spread))
+        if cutoff >= _IMPORTANT_RANK or spread <= _IMPORTANT_SPREAD:
+            return cutoff
+        important = self._demand.rank_at_rate(
+            self._retries_per_second(_IMPORTANT_SPREAD)
+        )
+        return max(cutoff, min(important, _IMPORTANT_RANK))
 
     def count_request(self) -> None:
-        """Count a request for the service."""
-        self._move()
+        """Count a first attempt."""
+        self._advance()
         self._requests[0] += 1
 
     def count_retry(self) -> None:
-        """Count a repeat that nobody could decide on."""
-        self._move()
-        self._repeats[0] += 1
+        """Count a retry that did not ask for a grant."""
+        self._advance()
+        self._retries[0] += 1
 
     def on_attempt(self, lost: bool) -> None:
-        """Count an attempt, and whether it reached the service in vain."""
-        self._share_lost += _WEIGHT * ((1.0 if lost else 0.0) - self._share_lost)
+        """Count an attempt, and whether the service refused or failed it."""
+        self._failure_rate += _FAILURE_WEIGHT * (
+            (1.0 if lost else 0.0) - self._failure_rate
+        )
 
     def spend(self, rank: float) -> bool:
-        """Take one repeat for a request of a rank, if it is carried."""
-        self._wants.add(rank)
+        """Take one retry for a request; return False if it must not be retried."""
+        self._demand.add(rank)
         if self.spent + 1 > self.allowed or rank >= self.rank_cutoff:
             return False
-        self._repeats[0] += 1
+        self._retries[0] += 1
         return True
 
     def refund(self) -> None:
-        """Give back a repeat that did not arrive after all."""
-        self._move()
-        for part, count in enumerate(self._repeats):
+        """Return a retry that was not sent."""
+        self._advance()
+        for index, count in enumerate(self._retries):
             if count:
-                self._repeats[part] -= 1
+                self._retries[index] -= 1
                 return
 
-    def _pace(self, spread: float) -> float:
-        """Return the repeats in a second that use up the budget in a time."""
+    def _retries_per_second(self, spread: float) -> float:
+        """Return the rate that uses up the budget in ``spread`` of a window."""
         return max(0.0, self.allowed - self.spent) / (spread * self._window)
 
-    def _move(self) -> None:
-        place = int(self._clock.now() / self._part)
-        passed = place - self._place
-        if passed <= 0:
+    def _advance(self) -> None:
+        bucket = int(self._clock.now() / self._bucket_seconds)
+        elapsed = bucket - self._bucket
+        if elapsed <= 0:
             return
-        self._place = place
-        for counts in (self._requests, self._repeats):
-            fresh = [0] * min(passed, len(counts))
+        self._bucket = bucket
+        for counts in (self._requests, self._retries):
+            fresh = [0] * min(elapsed, len(counts))
             counts[:] = fresh + counts[: len(counts) - len(fresh)]
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
@@ -1,4 +1,4 @@
-"""Repeats are granted where arrivals are seen, and the sum over the gates holds."""
+"""The retries that all gates of a service grant stay within the service's bound."""
 
 from collections import deque
 
@@ -11,7 +11,7 @@
 
 
 class Service:
-    """The gates of a service, and what a bound over all of them would count."""
+    """The gates of a service, with a reference count over all of them."""
 
     def __init__(self, gates: int) -> None:
         self.clock = ManualClock(100.0)
@@ -27,24 +27,24 @@
         if self.gates[gate % len(self.gates)].grant(rank):
             self.repeats.append(self.clock.now())
 
-    def leave(self, gate: int) -> None:
+    def remove_gate(self, gate: int) -> None:
         if len(self.gates) > 1:
             del self.gates[gate % len(self.gates)]
             self._share()
 
-    def come(self) -> None:
+    def add_gate(self) -> None:
         self.gates.append(self._gate(len(self.gates) + 1))
         self._share()
 
-    def held(self) -> bool:
+    def is_within_bound(self) -> bool:
         """Return whether the bound holds for the window that ends now."""
         now = self.clock.now()
         repeats = _between(self.repeats, now - WINDOW, now)
-        most = max(
+        peak = max(
             _between(self.requests, now - back - WINDOW, now - back)
             for back in (0.0, WINDOW / 2, WINDOW)
         )
-        return repeats <= RATIO * most + EXTRA
+        return repeats <= RATIO * peak + EXTRA
 
     def _gate(self, gates: int) -> GateRetryBudget:
         grants = GateRetryBudget(self.clock, RATIO, EXTRA, WINDOW)
@@ -72,8 +72,8 @@
 
 
 @given(st.integers(1, 12), _STEPS)
-def test_the_gates_together_keep_the_bound(gates, steps):
-    """Requests and repeats meet the gates in any order and any proportion."""
+def test_total_retries_stay_within_bound(gates, steps):
+    """Requests and retries reach the gates in any order and proportion."""
     service = Service(gates)
     for kind, gate, amount in steps:
         if kind == "request":
@@ -82,16 +82,16 @@
             service.repeat(gate, amount)
         else:
             service.clock.advance(amount)
-        assert service.held()
+        assert service.is_within_bound()
 
 
 @given(st.integers(2, 8), st.lists(st.integers(0, 7), max_size=6), st.data())
-def test_gates_that_leave_and_come_keep_the_bound(gates, changes, data):
-    """Gates leave for good, each followed by one that knows nothing of before.
+def test_total_retries_stay_within_bound_when_gates_are_replaced(gates, changes, data):
+    """Gates are removed, and replaced by new ones without their state.
 
-    What is granted out of a gate's own arrivals goes with it; of the fixed
-    allowance a successor has a part of its own, so one restart in a window of each
-    third gate is within what is held back.
+    Traffic-based retries end with the removed gate, but its successor gets a new
+    part of the fixed allowance.  The reserve covers one restart of every third
+    gate per window.
     """
     service = Service(gates)
     for place in range(40):
@@ -101,13 +101,13 @@
         for _ in range(data.draw(st.integers(0, 10))):
             service.repeat(gate, 0.5)
         if place < restarts:
-            service.leave(gate)
-            service.come()
-        assert service.held()
+            service.remove_gate(gate)
+            service.add_gate()
+        assert service.is_within_bound()
 
 
-def test_a_grant_that_was_not_used_comes_back():
-    """A repeat is granted, and the gate's queue has no room for it."""
+def test_refunded_retry_can_be_granted_again():
+    """A retry is granted, but the gate's queue has no room for it."""
     grants = GateRetryBudget(ManualClock(), RATIO, 0.0, WINDOW)
     for _ in range(6):
         grants.count_request()
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
@@ -1,4 +1,4 @@
-"""The account conserves extra attempts over the whole tree of calls."""
+"""Request budgets never add attempts over the whole call tree."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,60 +8,60 @@
 GRANTS = st.integers(0, 10)
 
 
-def run_tree(account: RequestBudget, depth: int, data: st.DataObject) -> int:
-    """Run a tree of calls with random faults; return extra attempts made."""
+def run_tree(budget: RequestBudget, depth: int, data: st.DataObject) -> int:
+    """Simulate a call tree with random faults; return the extra attempts made."""
     made = 0
-    if data.draw(st.booleans()) and account.spend():
+    if data.draw(st.booleans()) and budget.spend():
         made += 1
     if depth == 0:
         return made
     for _ in range(data.draw(st.integers(0, 2))):
-        lent = account.delegate()
-        child = RequestBudget(ManualClock(), 1.0, lent)
+        delegated = budget.delegate()
+        child = RequestBudget(ManualClock(), 1.0, delegated)
         made += run_tree(child, depth - 1, data)
         reply = data.draw(st.sampled_from(["whole", "lost", "doubled", "forged"]))
         if reply == "whole":
-            account.reclaim(lent, child.attempts)
+            budget.reclaim(delegated, child.attempts)
         elif reply == "forged":
-            # Within the loan a forgery can only claim what was not spent.
-            account.reclaim(lent, min(lent, child.attempts))
+            # A claim beyond the delegated tokens has its own test below.
+            budget.reclaim(delegated, min(delegated, child.attempts))
     return made
 
 
 @given(GRANTS, st.integers(0, 5), st.data())
-def test_attempts_in_the_tree_never_exceed_the_grant(grant, depth, data):
-    # A retry at each layer multiplies on the way down: 3 retries at 5 layers
-    # are 1023 extra calls.  Tokens that are only moved cannot multiply.
-    account = RequestBudget(ManualClock(), 1.0, grant)
-    made = run_tree(account, depth, data)
-    assert made + account.attempts <= grant
+def test_extra_attempts_in_call_tree_never_exceed_root_budget(grant, depth, data):
+    # Guards against retry amplification: independent retries at each layer
+    # multiply, and 3 retries at 5 layers are 1023 extra calls.
+    budget = RequestBudget(ManualClock(), 1.0, grant)
+    made = run_tree(budget, depth, data)
+    assert made + budget.attempts <= grant
 
 
 @given(GRANTS)
-def test_attempts_are_conserved_down_a_chain_of_23(grant):
-    accounts = [RequestBudget(ManualClock(), 1.0, grant)]
-    loans = []
+def test_attempts_are_conserved_along_chain_of_23_calls(grant):
+    budgets = [RequestBudget(ManualClock(), 1.0, grant)]
+    shares = []
     for _ in range(23):
-        loans.append(accounts[-1].delegate())
-        accounts.append(RequestBudget(ManualClock(), 1.0, loans[-1]))
-    assert sum(a.attempts for a in accounts) == grant
-    for parent, loan, child in zip(
-        accounts[-2::-1], loans[::-1], accounts[:0:-1], strict=True
+        shares.append(budgets[-1].delegate())
+        budgets.append(RequestBudget(ManualClock(), 1.0, shares[-1]))
+    assert sum(a.attempts for a in budgets) == grant
+    for parent, share, child in zip(
+        budgets[-2::-1], shares[::-1], budgets[:0:-1], strict=True
     ):
-        parent.reclaim(loan, child.attempts)
-    assert accounts[0].attempts == grant
+        parent.reclaim(share, child.attempts)
+    assert budgets[0].attempts == grant
 
 
 @given(GRANTS, st.integers(-5, 100))
-def test_a_reply_cannot_mint_attempts(grant, claimed):
-    account = RequestBudget(ManualClock(), 1.0, grant)
-    account.reclaim(account.delegate(), claimed)
-    assert account.attempts <= grant
+def test_reply_claiming_too_many_attempts_is_capped(grant, claimed):
+    budget = RequestBudget(ManualClock(), 1.0, grant)
+    budget.reclaim(budget.delegate(), claimed)
+    assert budget.attempts <= grant
 
 
-def test_a_total_outage_adds_a_bounded_share_of_retries():
-    # Callers see every attempt fail and the system would retry each one; the
-    # budget earns a tenth of an attempt for each first one.
+def test_total_outage_retries_only_the_budgeted_fraction():
+    # Every attempt fails and would be retried; each first attempt adds a tenth
+    # of a retry token.
     clock = ManualClock()
     budget = CallerRetryBudget(clock, fraction=0.1, trickle=0.0, burst=10.0)
     retries = 0
@@ -71,11 +71,11 @@
     assert retries <= 110
 
 
-def test_deadline_is_a_duration_of_the_own_clock():
+def test_deadline_is_measured_on_local_clock():
     clock = ManualClock(1000.0)
-    account = RequestBudget(clock, deadline=1000.5, attempts=0)
+    budget = RequestBudget(clock, deadline=1000.5, attempts=0)
     clock.advance(0.4)
-    assert round(account.time_left, 3) == 0.1
+    assert round(budget.time_left, 3) == 0.1
     clock.advance(1)
-    assert account.time_left == 0
-    assert account.expired
+    assert budget.time_left == 0
+    assert budget.expired
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on repeated arrivals."""
+"""The bound on the retries that reach one service."""
 
 from random import Random
 
@@ -8,8 +8,8 @@
 from rattanfork_core.clock import ManualClock
 
 
-def busy(clock: ManualClock, extra: float = 0.0) -> ServiceRetryBudget:
-    """Return the budget of a service that gets 100 requests a second."""
+def loaded_budget(clock: ManualClock, extra: float = 0.0) -> ServiceRetryBudget:
+    """Return the budget of a service after 10 s at 100 requests per second."""
     budget = ServiceRetryBudget(clock, ratio=0.2, extra=extra, window=10)
     for _ in range(1000):
         budget.count_request()
@@ -17,15 +17,14 @@
     return budget
 
 
-def test_what_was_asked_before_counts_when_callers_are_turned_away():
-    """A service that took 100 requests a second begins to refuse.
+def test_earlier_traffic_allows_retries_when_callers_are_refused_early():
+    """A service that received 100 requests per second starts to shed load.
 
-    Callers are turned away early, so hardly any request counts; the repeats
-    that those still admitted need are allowed by the traffic of before, and
-    are not all gone in the first second.
+    Callers are refused early, so few requests are counted.  The earlier traffic
+    must still allow retries, and they must not all be used in the first second.
     """
     clock = ManualClock()
-    budget = busy(clock)
+    budget = loaded_budget(clock)
     clock.advance(1)
     random = Random(3)
     by_second = []
@@ -39,15 +38,15 @@
     assert sum(budget.spend(0.5) for _ in range(9)) == 0
 
 
-def test_what_is_important_gets_all_that_it_wants():
-    """Every second attempt at a deep service is refused, for eight seconds.
+def test_important_requests_get_their_retries_first():
+    """Half of the attempts at a downstream service are refused for eight seconds.
 
-    Postings want 30 repeats a second and browsing 90; the budget has 20 of its
-    own and what the window before has left.  Shared out alike, postings would
-    get a quarter of what they want.
+    Writes request 30 retries per second and reads 90; the budget allows 20 plus
+    the rest of the previous window.  Distributed evenly, writes would get a
+    quarter of the retries that they request.
     """
     clock = ManualClock()
-    budget = busy(clock, extra=100)
+    budget = loaded_budget(clock, extra=100)
     random = Random(3)
     granted = {0: 0, 2: 0}
     for tick in range(800):
@@ -62,16 +61,16 @@
     assert granted[2] < 0.2 * 720
 
 
-def test_among_equals_the_same_requests_get_theirs_at_each_call():
-    """Runs of equal importance make four calls each; there is too little for all.
+def test_run_granted_a_retry_is_granted_one_at_each_call():
+    """Runs of equal importance make four calls each, and the budget is too small.
 
-    A run is saved only if each of its calls is, so a rank that is carried at
-    one call has to be carried at the next.
+    A run succeeds only if each of its calls does, so a rank that is granted a
+    retry at one call must be granted one at the next.
     """
     clock = ManualClock()
-    budget = busy(clock, extra=400)
+    budget = loaded_budget(clock, extra=400)
     random = Random(3)
-    whole = some = 0
+    all_granted = some_granted = 0
     for run in range(400):
         budget.on_attempt(lost=run % 2 == 0)
         rank = 2 + random.random()
@@ -80,16 +79,16 @@
             clock.advance(0.004)
             granted.append(budget.spend(rank))
         if run > 100:
-            whole += all(granted)
-            some += any(granted)
-    assert whole > 30
-    assert whole > 0.75 * some
+            all_granted += all(granted)
+            some_granted += any(granted)
+    assert all_granted > 30
+    assert all_granted > 0.75 * some_granted
 
 
-def test_few_losses_are_all_made_good():
-    """A tenth of the attempts comes to nothing; a fifth may be repeated."""
+def test_all_failures_are_retried_at_low_failure_rate():
+    """A tenth of the attempts fails; a fifth may be retried."""
     clock = ManualClock()
-    budget = busy(clock)
+    budget = loaded_budget(clock)
     granted = 0
     for number in range(800):
         clock.advance(0.01)
@@ -106,7 +105,7 @@
         max_size=200,
     )
 )
-def test_no_window_holds_more_than_its_share(steps):
+def test_retries_in_any_window_stay_within_bound(steps):
     clock = ManualClock()
     budget = ServiceRetryBudget(clock, ratio=0.2, extra=3, window=10)
     requests: list[float] = []
@@ -125,7 +124,7 @@
 
 
 @given(st.floats(0, 100))
-def test_an_empty_budget_allows_its_extra_only(pause):
+def test_budget_without_traffic_allows_only_the_extra_retries(pause):
     clock = ManualClock()
     budget = ServiceRetryBudget(clock, ratio=0.2, extra=2, window=10)
     clock.advance(pause)
