--- a/packages/rattanfork-core/rattanfork_core/idempotency/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""At most once: keys that one guard alone may run, and proofs of not run."""
+"""Idempotency keys and fencing: a request runs at most once at its upstream."""
 
 from rattanfork_core.idempotency.connection_call_log import ConnectionCallLog
 from rattanfork_core.idempotency.key_registry import KeyRegistry
--- a/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
@@ -1,4 +1,4 @@
-"""A guard's memory of the calls of one connection."""
+"""Calls without an idempotency key that one peer connection delivered."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -7,41 +7,41 @@
 
 
 class ConnectionCallLog:
-    """Tells which calls of a connection were handed to the upstream.
+    """Records which calls of a connection were handed over to the upstream.
 
     Explanation
     ===========
 
-    Calls without a key are identified by their connection and their number
-    on it, which only rises: a copy of a call is told by its number and does
-    not run a second time.  When the sender loses the connection it asks, over
-    another one, to fence the old: from then on nothing that still arrives on
-    it is handed over, so "not run" stays true for calls in a buffer.
+    Calls without a key are identified by their connection and their sequence
+    number on it, which only increases, so duplicates are detected and do not run
+    a second time.  When the sender loses the connection, it asks over another one
+    to fence the old: from then on no call that still arrives on it is handed over.
+    A call reported as "not run" therefore cannot run later out of a buffer.
 
     Parameters
     ==========
 
     memory : int
-        Most calls remembered as handed over.
+        Maximum number of handed-over calls that are recorded.
 
     Examples
     ========
 
-    >>> ledger = ConnectionCallLog()
-    >>> ledger.accept(1), ledger.accept(1)
+    >>> calls = ConnectionCallLog()
+    >>> calls.accept(1), calls.accept(1)
     (True, False)
-    >>> ledger.hand_over(1)
+    >>> calls.hand_over(1)
     True
-    >>> ledger.fence([1, 2])
+    >>> calls.fence([1, 2])
     [<FenceVerdict.HANDED_OVER: 1>, <FenceVerdict.NOT_RUN: 0>]
-    >>> ledger.hand_over(2)
+    >>> calls.hand_over(2)
     False
     """
 
     def __init__(self, memory: int = 4096) -> None:
-        self._memory = memory
-        self._handed: OrderedDict[int, None] = OrderedDict()
-        self._forgotten_up_to = 0
+        self._max_recorded = memory
+        self._handed_over: OrderedDict[int, None] = OrderedDict()
+        self._evicted_up_to = 0
         self._fenced = False
         self._last = 0
 
@@ -51,30 +51,30 @@
         return self._fenced
 
     def accept(self, number: int) -> bool:
-        """Take in a call; False for a copy of one that was taken before."""
+        """Accept a call; return False for a duplicate."""
         if number <= self._last:
             return False
         self._last = number
         return True
 
     def hand_over(self, number: int) -> bool:
-        """Mark a call as handed to the upstream; False forbids it."""
+        """Record a call as handed over; return False if it must not run."""
         if self._fenced:
             return False
-        self._handed[number] = None
-        if len(self._handed) > self._memory:
-            oldest, _ = self._handed.popitem(last=False)
-            self._forgotten_up_to = max(self._forgotten_up_to, oldest)
+        self._handed_over[number] = None
+        if len(self._handed_over) > self._max_recorded:
+            oldest, _ = self._handed_over.popitem(last=False)
+            self._evicted_up_to = max(self._evicted_up_to, oldest)
         return True
 
     def fence(self, numbers: Iterable[int]) -> list[FenceVerdict]:
-        """Refuse the connection's calls from now on; judge the given ones."""
+        """Refuse all further calls; return whether the given ones were handed over."""
         self._fenced = True
-        return [self._judge(number) for number in numbers]
+        return [self._fence_verdict(number) for number in numbers]
 
-    def _judge(self, number: int) -> FenceVerdict:
-        if number in self._handed:
+    def _fence_verdict(self, number: int) -> FenceVerdict:
+        if number in self._handed_over:
             return FenceVerdict.HANDED_OVER
-        if number <= self._forgotten_up_to:
+        if number <= self._evicted_up_to:
             return FenceVerdict.UNKNOWN
         return FenceVerdict.NOT_RUN
--- a/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
@@ -1,4 +1,4 @@
-"""A guard's memory of keys."""
+"""State of the idempotency keys of one upstream instance."""
 
 from collections import OrderedDict
 
@@ -20,25 +20,23 @@
 
 
 class KeyRegistry:
-    """Decides, for one incarnation of one guard, which keys run.
+    """Decides which keys run at an instance, for one incarnation of its node.
 
     Explanation
     ===========
 
-    A key names the incarnation of the guard that may run it, so who may run
-    it depends on the key alone: not on membership views, leases, the table,
-    or anybody's clock.  Within that incarnation this ledger is the only
-    authority.  It hands a key over at most once because it marks the key
-    before it lets it go, and because it never forgets a key that it would
-    still accept:
-
-    - Memory is kept in epochs, numbered by the guard itself.  A key carries
-      the epoch in which it was issued, and is accepted only while that epoch
-      is kept.  When an epoch is dropped, all its keys are refused from then
-      on, so a duplicate held up for longer than the memory lasts cannot run
-      a second time.
-    - An epoch ends after a time on the guard's own clock or a number of
-      keys, whichever is first, so memory is bounded at any rate.
+    A key names the incarnation of the node that may run it, so this depends on the
+    key alone: not on membership views, leases, the platform's table or clocks of
+    other machines.  Within that incarnation this registry is the only authority.
+    It hands a key over at most once because it marks the key before the request
+    is sent, and because it never evicts a key that it would still accept:
+
+    - Keys are grouped in epochs, numbered by the node itself.  A key carries the
+      epoch in which it was issued, and is accepted only while that epoch is kept.
+      When an epoch is dropped, all its keys are refused, so a duplicate that is
+      delayed for longer than the keys are kept cannot run a second time.
+    - An epoch ends after a time on the node's own clock or a number of keys,
+      whichever comes first, so memory is bounded at any request rate.
 
     Parameters
     ==========
@@ -46,26 +44,26 @@
     clock : Clock
         Source of the current time.
     instance, boot : str
-        The instance and this incarnation of its guard.
+        The instance, and the incarnation of its node.
     epoch_seconds : float
-        Longest time an epoch lasts.
+        Maximum duration of an epoch.
     epoch_keys : int
-        Most keys of an epoch.
+        Number of keys after which an epoch ends.
     kept_bytes : int
-        Most bytes of answers kept for repeated keys.
+        Maximum size of the responses stored for replay.
 
     Examples
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> ledger = KeyRegistry(ManualClock(), "claims-1", "b1")
-    >>> ticket = Ticket("claims", "claims-1", "b1", ledger.epoch, 7)
-    >>> verdict = ledger.on_request("k", ticket, "clerk", 99)
-    >>> ledger.hand_over(verdict.record)
+    >>> registry = KeyRegistry(ManualClock(), "claims-1", "b1")
+    >>> ticket = Ticket("claims", "claims-1", "b1", registry.epoch, 7)
+    >>> verdict = registry.on_request("k", ticket, "clerk", 99)
+    >>> registry.hand_over(verdict.record)
     True
-    >>> ledger.fence("k", ticket)
+    >>> registry.fence("k", ticket)
     <FenceVerdict.HANDED_OVER: 1>
-    >>> ledger.on_request("k", ticket, "another", 99).reason
+    >>> registry.on_request("k", ticket, "another", 99).reason
     <Reason.KEY_MISUSED: 15>
 
     See Also
@@ -97,21 +95,21 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch in which keys are issued now."""
+        """The current epoch; new keys are issued in it."""
         return self._epoch
 
     @property
     def key_count(self) -> int:
-        """Keys remembered."""
+        """Number of keys stored."""
         return sum(len(records) for records in self._epochs.values())
 
     @property
     def stored_answer_bytes(self) -> int:
-        """Bytes of answers kept."""
+        """Total body size of the stored responses."""
         return self._kept_size
 
     def on_request(self, key: str, ticket: Ticket, caller: str, digest: int) -> Verdict:
-        """Take in a request with a key.
+        """Return what to do with a request that carries a key.
 
         Parameters
         ==========
@@ -119,22 +117,23 @@
         key : str
             The key as the caller sent it.
         ticket : Ticket
-            The same, read.
+            The parsed key.
         caller : str
-            Who sent it.
+            The caller that sent it.
         digest : int
             Hash of the request's method, path and body.
         """
-        self._turn_epoch()
+        self._rotate_epoch()
         records = self._records(ticket)
         if records is None:
-            # Whether it ran in an incarnation or epoch that is gone cannot be
-            # told, but it will not run from now on.
+            # Whether it ran in an earlier incarnation or a dropped epoch is
+            # unknown, but it will not run from now on.
             return RefuseKey(Outcome.UNKNOWN, Reason.KEY_EXPIRED)
         record = records.get(key)
         if record is None:
             if len(records) >= 2 * self._epoch_keys:
-                # Keys issued before a burst may all come back in one epoch.
+                # Requests with keys issued in an earlier epoch can still fill
+                # that epoch after it has ended.
                 return RefuseKey(Outcome.UNKNOWN, Reason.KEY_EXPIRED)
             record = RunRecord(key, caller, digest)
             records[key] = record
@@ -142,13 +141,13 @@
         if record.state is not RunState.FENCED and (
             record.caller != caller or record.digest != digest
         ):
-            # Another's answer must not be given out, nor another request run
-            # under a key that has been used.
+            # The stored response must not reach another caller, and a used key
+            # must not run a different request.
             return RefuseKey(Outcome.NOT_RUN, Reason.KEY_MISUSED)
-        return self._repeat(record)
+        return self._on_duplicate(record)
 
     def hand_over(self, record: RunRecord) -> bool:
-        """Mark a key as handed to the upstream; False forbids it.
+        """Mark a key as handed over to the upstream; return False if it must not run.
 
         Must be called immediately before the request is written.
         """
@@ -158,40 +157,39 @@
         return True
 
     def refuse(self, record: RunRecord) -> bool:
-        """Refuse for good a key that was not handed over.
+        """Fence a key that was not handed over.
 
-        Returns whether the key is now proved not to have run.
+        Returns whether the key is now known not to have run, and never to run.
         """
         if record.state is RunState.WAITING:
-            # A copy of the request may be held up somewhere.  Were the key
-            # left open, the copy would run after its caller was told
-            # "not run".
+            # A delayed duplicate of the request may still arrive.  If the key
+            # were not fenced, it would run after its caller was told "not run".
             record.state = RunState.FENCED
         return record.state is RunState.FENCED
 
     def cancel_hand_over(self, record: RunRecord) -> None:
-        """Take back a hand-over that provably did not take place."""
+        """Fence a key whose hand-over is known not to have taken place."""
         if record.state is RunState.HANDED_OVER:
             record.state = RunState.FENCED
 
     def store_answer(self, record: RunRecord, result: CallResult) -> None:
-        """Keep the upstream's answer for repeats of the key."""
+        """Store the upstream's response for duplicates of the request."""
         record.state = RunState.ANSWERED
         record.result = result
         self._kept[record.key] = record
         self._kept_size += len(result.body)
         while self._kept_size > self._kept_bytes and self._kept:
             _, oldest = self._kept.popitem(last=False)
-            self._forget_answer(oldest)
+            self._drop_answer(oldest)
 
     def on_connection_lost(self, record: RunRecord) -> None:
-        """Take note that the upstream's connection broke during the run."""
+        """Record that the connection to the upstream was lost during the run."""
         if record.state is RunState.HANDED_OVER:
             record.state = RunState.LOST
 
     def fence(self, key: str, ticket: Ticket) -> FenceVerdict:
-        """Refuse a key from now on, if it has not been handed over."""
-        self._turn_epoch()
+        """Refuse a key from now on; return whether it had been handed over."""
+        self._rotate_epoch()
         records = self._records(ticket)
         if records is None:
             return FenceVerdict.UNKNOWN
@@ -211,7 +209,7 @@
             return None
         return self._epochs.get(ticket.epoch)
 
-    def _repeat(self, record: RunRecord) -> Verdict:
+    def _on_duplicate(self, record: RunRecord) -> Verdict:
         if record.state is RunState.FENCED:
             return RefuseKey(Outcome.NOT_RUN, Reason.FENCED)
         if record.state is RunState.LOST:
@@ -222,7 +220,7 @@
             return AlreadyAnswered(record.result)
         return JoinRunning(record)
 
-    def _turn_epoch(self) -> None:
+    def _rotate_epoch(self) -> None:
         now = self._clock.now()
         age = now - self._epoch_began
         full = len(self._epochs[self._epoch]) >= self._epoch_keys
@@ -236,9 +234,9 @@
             for key in dropped:
                 record = self._kept.pop(key, None)
                 if record is not None:
-                    self._forget_answer(record)
+                    self._drop_answer(record)
 
-    def _forget_answer(self, record: RunRecord) -> None:
+    def _drop_answer(self, record: RunRecord) -> None:
         if record.result is not None:
             self._kept_size -= len(record.result.body)
             record.result = None
--- a/packages/rattanfork-core/rattanfork_core/idempotency/record.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/record.py
@@ -1,4 +1,4 @@
-"""What a guard remembers of a key."""
+"""State of one idempotency key."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -7,23 +7,23 @@
 
 
 class RunState(IntEnum):
-    """Where a key stands at its guard."""
+    """State of a key at the node of its instance."""
 
-    #: Admitted or waiting; not yet handed to the upstream.
+    #: Admitted or queued; not yet handed over to the upstream.
     WAITING = 0
-    #: Handed to the upstream; no answer yet.
+    #: Handed over to the upstream; no response yet.
     HANDED_OVER = 1
-    #: The upstream answered.
+    #: The upstream responded.
     ANSWERED = 2
-    #: Refused for good: reported as not run.
+    #: Permanently refused; reported as not run.
     FENCED = 3
-    #: Handed over, and lost: the upstream's connection broke.
+    #: Handed over, but the connection to the upstream was lost: outcome unknown.
     LOST = 4
 
 
 @dataclass(slots=True, eq=False)
 class RunRecord:
-    """One key at its guard."""
+    """A key with its caller, the hash of its request, and the stored response."""
 
     key: str
     caller: str
--- a/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
@@ -1,4 +1,4 @@
-"""At most once under every interleaving of pause, loss and replacement."""
+"""At-most-once execution under delays, lost connections and node restarts."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -22,13 +22,11 @@
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Guards that are replaced, and copies of requests that come any time.
+    """Restarting nodes, and duplicates of requests that arrive at any time.
 
-    What a caller sees: one posting recorded twice, or one recorded though it
-    was told "not run".  In between lie copies held up at paused nodes,
-    fences by other nodes, lost answers, and guards that restart and forget.
-    Safe because a key names the incarnation that may run it, and that one
-    never forgets a key it would still accept.
+    Guards against writes that run twice, or run after their caller was told
+    "not run".  Causes are duplicates delayed at paused nodes, fences by other
+    nodes, lost responses, and nodes that lose their state in a restart.
     """
 
     keys = Bundle("keys")
@@ -45,23 +43,23 @@
 
     def replace_guard(self) -> None:
         self.boots += 1
-        self.ledger = KeyRegistry(
+        self.registry = KeyRegistry(
             self.clock, "g", f"b{self.boots}", epoch_seconds=10, epoch_keys=4
         )
-        # Runs under way go on at the upstream, but nothing is handed over
-        # any more by the process that died.
+        # Runs continue at the upstream, but the old process hands over no
+        # further requests.
         self.waiting.clear()
         self.running.clear()
 
     @rule(target=keys, n=st.integers(0, 10**6))
     def issue(self, n):
         boot = f"b{self.boots}"
-        return Ticket("claims", "g", boot, self.ledger.epoch, n)
+        return Ticket("claims", "g", boot, self.registry.epoch, n)
 
     @rule(ticket=keys, caller=st.sampled_from(CALLERS))
     def arrive(self, ticket, caller):
         key = repr(ticket)
-        verdict = self.ledger.on_request(key, ticket, caller, 1)
+        verdict = self.registry.on_request(key, ticket, caller, 1)
         if isinstance(verdict, RunNow):
             self.waiting.append(verdict.record)
         elif isinstance(verdict, RefuseKey):
@@ -77,7 +75,7 @@
     def hand_over(self, data):
         if self.waiting:
             record = data.draw(st.sampled_from(self.waiting))
-            if self.ledger.hand_over(record):
+            if self.registry.hand_over(record):
                 self.runs[record.key] = self.runs.get(record.key, 0) + 1
                 self.running.append(record)
 
@@ -85,7 +83,7 @@
     def refuse_waiting(self, data):
         if self.waiting:
             record = data.draw(st.sampled_from(self.waiting))
-            if self.ledger.refuse(record):
+            if self.registry.refuse(record):
                 self.told_not_run.add(record.key)
 
     @rule(data=st.data(), lost=st.booleans())
@@ -94,15 +92,15 @@
             record = self.running.pop(data.draw(st.integers(0, len(self.running) - 1)))
             body = f"{record.key} for {record.caller}".encode()
             if lost:
-                self.ledger.on_connection_lost(record)
+                self.registry.on_connection_lost(record)
             else:
                 result = CallResult(Outcome.ANSWERED, status=200, body=body)
-                self.ledger.store_answer(record, result)
+                self.registry.store_answer(record, result)
 
     @rule(ticket=keys)
     def fence(self, ticket):
         key = repr(ticket)
-        if self.ledger.fence(key, ticket) is FenceVerdict.NOT_RUN:
+        if self.registry.fence(key, ticket) is FenceVerdict.NOT_RUN:
             self.told_not_run.add(key)
 
     @rule(seconds=st.sampled_from([0.1, 5.0, 11.0, 100.0]))
@@ -123,41 +121,44 @@
 
     @invariant()
     def memory_is_bounded(self):
-        assert self.ledger.key_count <= 4 * 4
+        assert self.registry.key_count <= 4 * 4
 
 
 TestAtMostOnce = AtMostOnce.TestCase
 
 
-def ledger() -> KeyRegistry:
+def new_registry() -> KeyRegistry:
     return KeyRegistry(ManualClock(), "g", "b", kept_bytes=100)
 
 
-def ticket(held: KeyRegistry, n: int) -> Ticket:
-    return Ticket("claims", "g", "b", held.epoch, n)
+def ticket(registry: KeyRegistry, n: int) -> Ticket:
+    return Ticket("claims", "g", "b", registry.epoch, n)
 
 
-def test_an_answer_no_longer_kept_is_not_run_again():
-    held = ledger()
+def test_duplicate_is_not_run_after_its_response_was_dropped():
+    registry = new_registry()
     for n in range(3):
-        verdict = held.on_request(f"k{n}", ticket(held, n), "clerk", 1)
-        held.hand_over(verdict.record)
-        held.store_answer(verdict.record, CallResult(Outcome.ANSWERED, body=b"x" * 60))
-    repeat = held.on_request("k0", ticket(held, 0), "clerk", 1)
+        verdict = registry.on_request(f"k{n}", ticket(registry, n), "clerk", 1)
+        registry.hand_over(verdict.record)
+        registry.store_answer(
+            verdict.record, CallResult(Outcome.ANSWERED, body=b"x" * 60)
+        )
+    repeat = registry.on_request("k0", ticket(registry, 0), "clerk", 1)
     assert repeat.reason is Reason.ANSWER_DROPPED
-    assert held.stored_answer_bytes <= 100
+    assert registry.stored_answer_bytes <= 100
 
 
-def test_another_body_under_the_same_key_is_refused():
-    held = ledger()
-    held.on_request("k", ticket(held, 1), "clerk", 1)
+def test_reused_key_with_different_body_is_refused():
+    registry = new_registry()
+    registry.on_request("k", ticket(registry, 1), "clerk", 1)
     assert (
-        held.on_request("k", ticket(held, 1), "clerk", 2).reason is Reason.KEY_MISUSED
+        registry.on_request("k", ticket(registry, 1), "clerk", 2).reason
+        is Reason.KEY_MISUSED
     )
 
 
-def test_a_key_of_an_earlier_incarnation_is_never_run():
-    held = ledger()
+def test_key_of_earlier_incarnation_is_refused():
+    registry = new_registry()
     old = Ticket("claims", "g", "before", 1, 1)
-    assert held.on_request("k", old, "clerk", 1).reason is Reason.KEY_EXPIRED
-    assert held.fence("k", old) is FenceVerdict.UNKNOWN
+    assert registry.on_request("k", old, "clerk", 1).reason is Reason.KEY_EXPIRED
+    assert registry.fence("k", old) is FenceVerdict.UNKNOWN
--- a/packages/rattanfork-core/rattanfork_core/idempotency/ticket.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/ticket.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that name the one guard that may run them."""
+"""Idempotency keys that are valid at one incarnation of one instance."""
 
 import hmac
 from base64 import urlsafe_b64decode, urlsafe_b64encode
@@ -9,7 +9,7 @@
 
 _MAC_BYTES = 12
 _NONCE_BITS = 80
-#: Longest key taken, in characters.
+#: Maximum length of a key, in characters.
 MAX_TICKET_LENGTH = 400
 
 
@@ -27,12 +27,12 @@
     service : str
         The service that the instance belongs to.
     instance : str
-        The instance whose guard alone may run the key.
+        The only instance that may run the key.
     boot : str
-        The incarnation of that guard: a restarted one has forgotten what it
-        ran, and may not run the key.
+        The incarnation of the instance's node.  A restarted node no longer knows
+        which keys ran, so it must not run keys of an earlier incarnation.
     epoch : int
-        The guard's epoch when the key was issued.
+        The epoch of the instance's key registry when the key was issued.
     nonce : int
         Makes the key unique.
     """
@@ -45,31 +45,30 @@
 
 
 class TicketIssuer:
-    """Issues and reads tickets.
+    """Issues tickets and verifies them.
 
     Explanation
     ===========
 
-    A ticket carries a keyed hash, so that a caller cannot make one that
-    names another guard: with two tickets of one nonce, a caller's mistake
-    could run as two.
+    A ticket carries a keyed hash (HMAC), so that a caller cannot create tickets that
+    differ only in the instance: with two of them, one request could run twice.
 
     Parameters
     ==========
 
     key : bytes
-        The secret all nodes share.
+        The secret that all nodes share.
     random : Random
-        Source of nonces; a system source in production.
+        Source of nonces; ``SystemRandom`` in production.
 
     Examples
     ========
 
-    >>> mint = TicketIssuer(b"secret", Random(1))
-    >>> text = mint.issue("claims", "claims-1", "b1", 4)
-    >>> mint.parse(text).instance
+    >>> issuer = TicketIssuer(b"secret", Random(1))
+    >>> text = issuer.issue("claims", "claims-1", "b1", 4)
+    >>> issuer.parse(text).instance
     'claims-1'
-    >>> mint.parse("bogus")
+    >>> issuer.parse("bogus")
     Traceback (most recent call last):
     ...
     rattanfork_core.idempotency.ticket.TicketError: not a key of this system
@@ -80,19 +79,19 @@
         self._random = random
 
     def issue(self, service: str, instance: str, boot: str, epoch: int) -> str:
-        """Return a new ticket as text."""
+        """Return a new ticket, encoded as text."""
         nonce = self._random.getrandbits(_NONCE_BITS).to_bytes(10, "big")
         body = msgpack.packb((service, instance, boot, epoch, nonce))
         return urlsafe_b64encode(body + self._mac(body)).decode().rstrip("=")
 
     def parse(self, text: str) -> Ticket:
-        """Return the ticket of a text.
+        """Verify and decode a ticket.
 
         Raises
         ======
 
         TicketError
-            If the text is not a ticket of this system.
+            If the text is malformed, too long, or its hash is wrong.
         """
         if len(text) > MAX_TICKET_LENGTH:
             raise TicketError("not a key of this system")
--- a/packages/rattanfork-core/rattanfork_core/idempotency/verdicts.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/verdicts.py
@@ -1,4 +1,4 @@
-"""What the ledger says of a key that arrives."""
+"""Decisions of the key registry on a request with an idempotency key."""
 
 from dataclasses import dataclass
 
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RunNow:
-    """The key is new: run it."""
+    """The key is new: run the request."""
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class JoinRunning:
-    """The key is running: wait for its answer."""
+    """A request with the key is running: wait for its response."""
 
     record: RunRecord
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyAnswered:
-    """The key has run: give the first answer."""
+    """The request has run: return the stored response."""
 
     result: CallResult
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseKey:
-    """The key is not run by this arrival."""
+    """The request is refused, with an outcome and reason for its caller."""
 
     outcome: Outcome
     reason: Reason
