--- a/packages/rattanfork-core/rattanfork_core/rules/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' ordered rules: the first match decides a request's treatment."""
+"""Ordered traffic rules set by operators; the first match decides about a request."""
 
 from rattanfork_core.rules.action import Action
 from rattanfork_core.rules.condition import Condition
--- a/packages/rattanfork-core/rattanfork_core/rules/action.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/action.py
@@ -1,4 +1,4 @@
-"""What a rule does."""
+"""The action of a rule."""
 
 from dataclasses import dataclass
 
@@ -8,21 +8,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What is done with a request; None leaves the default.
+    """Changes that a rule makes to a request; None keeps the default.
 
     Parameters
     ==========
 
     refuse_after : float or None
-        Refuse; the caller should come back after this many seconds.
+        Refuse the request, with this ``Retry-After`` in seconds.
     rate : float or None
-        Requests let through each second at each node.
+        Requests allowed per second at each node.
     rate_per_caller : bool
-        Whether each caller has a rate of its own.
+        Whether the rate applies to each caller separately.
     deadline : float or None
-        Most seconds the request may take.
+        Maximum duration of the request, in seconds.
     attempts : int or None
-        Extra attempts granted to the whole tree of calls.
+        Extra attempts for the whole call tree.
     """
 
     importance: Importance | None = None
@@ -36,7 +36,7 @@
 
     @classmethod
     def of(cls, model: ActionModel) -> "Action":
-        """Return the action a document states."""
+        """Return the action of a validated document."""
         return cls(
             importance=Importance.parse(model.importance) if model.importance else None,
             refuse_after=model.refuse.retry_after if model.refuse else None,
--- a/packages/rattanfork-core/rattanfork_core/rules/condition.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/condition.py
@@ -1,4 +1,4 @@
-"""When a rule holds."""
+"""The condition of a rule."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,26 +10,26 @@
 from rattanfork_core.rules.document import ConditionModel
 from rattanfork_core.rules.facts import RequestFacts
 
-_WILD = frozenset("*?[")
+_WILDCARDS = frozenset("*?[")
 
 
 @dataclass(frozen=True, slots=True)
 class NameSet:
-    """Names to match, some with wildcards; an empty set matches all."""
+    """Names and wildcard patterns; an empty set matches every name."""
 
     exact: frozenset[str]
     patterns: tuple[Pattern[str], ...]
 
     @classmethod
     def of(cls, names: list[str]) -> "NameSet":
-        """Return the set of the given names."""
-        wild = [name for name in names if _WILD & set(name)]
-        exact = frozenset(names) - frozenset(wild)
-        return cls(exact, tuple(compile_pattern(translate(name)) for name in wild))
+        """Return the set of the given names and patterns."""
+        patterns = [name for name in names if _WILDCARDS & set(name)]
+        exact = frozenset(names) - frozenset(patterns)
+        return cls(exact, tuple(compile_pattern(translate(name)) for name in patterns))
 
     @property
     def matches_all(self) -> bool:
-        """Whether everything matches."""
+        """Whether the set is empty and so matches every name."""
         return not self.exact and not self.patterns
 
     def matches(self, name: str) -> bool:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """All parts must hold.
+    """The conjunction of a rule's criteria; an empty criterion matches everything.
 
     Examples
     ========
@@ -65,7 +65,7 @@
 
     @classmethod
     def of(cls, model: ConditionModel) -> "Condition":
-        """Return the condition a document states."""
+        """Return the condition of a validated document."""
         return cls(
             NameSet.of(model.service),
             NameSet.of(model.operation),
@@ -79,11 +79,11 @@
         )
 
     def matches(self, facts: RequestFacts) -> bool:
-        """Return whether the condition holds for a request."""
+        """Return whether a request meets all criteria."""
         return next(self.mismatches(facts), None) is None
 
     def may_match(self, facts: RequestFacts) -> bool:
-        """Return whether it holds at some load and attempt."""
+        """Return whether a request meets all criteria except load and attempt."""
         return (
             self.service.matches(facts.service)
             and self.operation.matches(facts.operation)
@@ -94,7 +94,7 @@
         )
 
     def mismatches(self, facts: RequestFacts) -> Iterator[str]:
-        """Yield why the condition does not hold, part by part."""
+        """Yield a reason for each criterion that a request does not meet."""
         if not self.service.matches(facts.service):
             yield f"service is {facts.service!r}"
         if not self.operation.matches(facts.operation):
--- a/packages/rattanfork-core/rattanfork_core/rules/document.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/document.py
@@ -1,4 +1,4 @@
-"""The YAML document of rules, as operators write it."""
+"""Models of the YAML document in which operators write rules and objectives."""
 
 from typing import Annotated, Self
 
@@ -11,12 +11,12 @@
     return [value] if isinstance(value, str) else value
 
 
-def _known_importance(value: object) -> object:
+def _importance_label(value: object) -> object:
     return Importance.parse(value).label if isinstance(value, str) else value
 
 
 Names = Annotated[list[str], BeforeValidator(_as_list)]
-ImportanceName = Annotated[str, BeforeValidator(_known_importance)]
+ImportanceName = Annotated[str, BeforeValidator(_importance_label)]
 ImportanceNames = Annotated[list[ImportanceName], BeforeValidator(_as_list)]
 
 
@@ -25,7 +25,7 @@
 
 
 class ConditionModel(_Strict):
-    """``when``: all that are given must hold; a list holds if one entry does."""
+    """``when``: all given criteria must match; a list matches if any entry does."""
 
     service: Names = []
     operation: Names = []
@@ -38,7 +38,7 @@
     attempt_above: int | None = Field(None, ge=0, le=1000)
 
     @model_validator(mode="after")
-    def _loads_overlap(self) -> Self:
+    def _check_load_range(self) -> Self:
         low, high = self.load_above, self.load_below
         if low is not None and high is not None and low >= high:
             raise ValueError("load_above must be less than load_below")
@@ -46,20 +46,20 @@
 
 
 class RefuseModel(_Strict):
-    """Refuse the request at once."""
+    """``refuse``: refuse the request without forwarding it."""
 
     retry_after: float = Field(1.0, ge=0, le=3600)
 
 
 class LimitModel(_Strict):
-    """Let only so many requests through each second at each node."""
+    """``limit``: maximum requests per second at each node, per rule or caller."""
 
     rate: float = Field(gt=0, le=1e6)
     per: str = Field("rule", pattern="^(rule|caller)$")
 
 
 class ActionModel(_Strict):
-    """``then``: what is done with a matching request."""
+    """``then``: the changes made to a matching request."""
 
     importance: ImportanceName | None = None
     refuse: RefuseModel | None = None
@@ -70,15 +70,17 @@
     data_centre: str | None = None
 
     @model_validator(mode="after")
-    def _refusal_stands_alone(self) -> Self:
+    def _check_refusal(self) -> Self:
         others = (self.limit, self.deadline, self.attempts, self.data_centre)
         if self.refuse is not None and any(v is not None for v in others):
-            raise ValueError("a refused request takes no other action")
+            raise ValueError(
+                "refuse excludes limit, deadline, attempts and data_centre"
+            )
         return self
 
 
 class RuleModel(_Strict):
-    """One rule."""
+    """A rule: its name, condition and action."""
 
     name: str = Field(min_length=1, max_length=100)
     when: ConditionModel = ConditionModel()
@@ -86,7 +88,7 @@
 
 
 class ObjectiveModel(_Strict):
-    """A service-level objective: share of whole requests answered in time."""
+    """Service-level objective: the fraction of callers' requests answered in time."""
 
     service: str
     importance: ImportanceName | None = None
@@ -94,17 +96,17 @@
 
 
 class RulesDocument(_Strict):
-    """A whole document of rules."""
+    """The rules in order of precedence, and the service-level objectives."""
 
     rules: list[RuleModel] = Field(default=[], max_length=5000)
     objectives: list[ObjectiveModel] = []
 
     @model_validator(mode="after")
-    def _names_differ(self) -> Self:
+    def _check_names(self) -> Self:
         seen: set[str] = set()
-        doubled = set()
+        duplicates = set()
         for rule in self.rules:
-            (doubled if rule.name in seen else seen).add(rule.name)
-        if doubled:
-            raise ValueError(f"rule names stand twice: {', '.join(sorted(doubled))}")
+            (duplicates if rule.name in seen else seen).add(rule.name)
+        if duplicates:
+            raise ValueError(f"duplicate rule names: {', '.join(sorted(duplicates))}")
         return self
--- a/packages/rattanfork-core/rattanfork_core/rules/edit.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/edit.py
@@ -1,4 +1,4 @@
-"""Changes to a document of rules."""
+"""Edits of a rules document from the command line."""
 
 from rattanfork_core.rules.document import RuleModel, RulesDocument
 
@@ -7,7 +7,7 @@
     for position, rule in enumerate(document.rules):
         if rule.name == name:
             return position
-    raise KeyError(f"there is no rule {name!r}")
+    raise KeyError(f"no rule is named {name!r}")
 
 
 def _with_rules(document: RulesDocument, rules: list[RuleModel]) -> RulesDocument:
@@ -15,13 +15,13 @@
 
 
 def retire_rule(document: RulesDocument, name: str) -> RulesDocument:
-    """Return the document without a rule.
+    """Return the document without the named rule.
 
     Raises
     ======
 
     KeyError
-        If there is no such rule.
+        If no rule has this name.
     """
     position = _position(document, name)
     rules = document.rules[:position] + document.rules[position + 1 :]
@@ -29,15 +29,15 @@
 
 
 def move_rule(document: RulesDocument, name: str, position: int) -> RulesDocument:
-    """Return the document with a rule at another position, counted from 1.
+    """Return the document with a rule moved to a position, counted from 1.
 
     Raises
     ======
 
     KeyError
-        If there is no such rule.
+        If no rule has this name.
     ValueError
-        If there is no such position.
+        If the position is out of range.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/rules/explain.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/explain.py
@@ -1,4 +1,4 @@
-"""Why a request is treated as it is."""
+"""Explanation of which rule applies to a request."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """The rule that takes a request, and why the earlier ones did not."""
+    """The matching rule, and the mismatches of each rule before it."""
 
     rule: Rule | None
     passed_over: tuple[tuple[str, tuple[str, ...]], ...]
 
 
 def explain(rules: RuleSet, facts: RequestFacts) -> Explanation:
-    """Return which rule takes a request and why the earlier ones did not.
+    """Return the rule that applies to a request, and why earlier ones do not.
 
     Examples
     ========
@@ -33,8 +33,8 @@
     """
     passed_over = []
     for rule in rules.rules:
-        failures = tuple(rule.condition.mismatches(facts))
-        if not failures:
+        mismatches = tuple(rule.condition.mismatches(facts))
+        if not mismatches:
             return Explanation(rule, tuple(passed_over))
-        passed_over.append((rule.name, failures))
+        passed_over.append((rule.name, mismatches))
     return Explanation(None, tuple(passed_over))
--- a/packages/rattanfork-core/rattanfork_core/rules/facts.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/facts.py
@@ -1,4 +1,4 @@
-"""What rules may ask of a request."""
+"""Properties of a request that rule conditions test."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class RequestFacts:
-    """What is known of a request when the rules are applied.
+    """Properties of a request when the rules are applied.
 
     Parameters
     ==========
 
     load : float
-        Pressure on the service as this node knows it: 0 while all is
-        admitted, 1 when nothing is.
+        Fraction of the service's requests that is shed, as this node estimates
+        it: 0 if all are admitted, 1 if none is.
     attempt : int
-        Number of the caller's attempt, from 1.
+        Number of the caller's attempt, counted from 1.
     """
 
     service: str
--- a/packages/rattanfork-core/rattanfork_core/rules/finding.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/finding.py
@@ -1,11 +1,11 @@
-"""Faults found in an operator's document."""
+"""Validation errors of an operator's document, with their positions."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault and its place.
+    """A validation error at a line and column.
 
     Examples
     ========
@@ -24,7 +24,7 @@
 
 
 class FindingsError(Exception):
-    """A document has faults; all of them are carried along."""
+    """A document is invalid; holds every error found."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__("\n".join(str(finding) for finding in findings))
@@ -32,5 +32,5 @@
 
     @property
     def findings(self) -> list[Finding]:
-        """All faults, in the order of their places."""
+        """All errors, ordered by position."""
         return self._findings
--- a/packages/rattanfork-core/rattanfork_core/rules/load.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/load.py
@@ -1,4 +1,4 @@
-"""Rules from their YAML text."""
+"""Loading of rules from YAML."""
 
 from rattanfork_core.rules.document import RulesDocument
 from rattanfork_core.rules.ruleset import RuleSet
@@ -12,7 +12,7 @@
     ======
 
     FindingsError
-        With every fault and its place.
+        If the document is invalid, with every error and its position.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/rules/route_decision.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/route_decision.py
@@ -1,4 +1,4 @@
-"""What rules make of a request by routes."""
+"""Application of a matching rule to the route of a request."""
 
 from dataclasses import dataclass, replace
 
@@ -17,10 +17,10 @@
     load: float = 0.0,
     priority: int | None = None,
 ) -> RequestFacts:
-    """Return what rules may ask of a request by a route.
+    """Return the properties of a request that the rules test.
 
-    To a rule the operation is the route's name, and the importance is the priority of
-    the client account, if it has one, and else the route's.
+    The operation is the route's name.  The importance follows from the priority of
+    the client account, or from the route's if the account has none.
     """
     return RequestFacts(
         service,
@@ -37,19 +37,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteDecision:
-    """How a request by a route is treated.
+    """Treatment of a request: its route after the rule's changes.
 
     Parameters
     ==========
 
     rule : str
-        Name of the rule that decided; "-" if none did.
+        Name of the matching rule; "-" if none matched.
     route : Route
-        The route, with what the rule changes of it.
+        The route with the rule's changes.
     data_centre : str or None
-        The only data centre whose instances may run it.
+        The only data centre whose instances may run the request, if limited.
     refuse_after : float or None
-        Refused: seconds after which the caller should come back.
+        If the request is refused, its ``Retry-After`` in seconds.
     """
 
     rule: str
@@ -59,15 +59,14 @@
 
 
 def apply_rule(route: Route, rule: Rule | None) -> RouteDecision:
-    """Return what a rule makes of a request by a route.
+    """Return the treatment of a request under its matching rule, if any.
 
     Explanation
     ===========
 
-    A rule may forbid that a request is repeated; that one may be repeated is
-    for the route to say, for only who wrote it knows what running it twice
-    does.  Likewise a rule can shorten the time of a route and lower its
-    attempts, and not raise them.
+    A rule can declare a request not idempotent, but not idempotent: only the
+    author of the route knows the effect of running it twice.  Likewise a rule
+    can lower the timeout and the attempts of a route, but not raise them.
 
     Examples
     ========
@@ -77,24 +76,24 @@
     >>> [rule] = load_rules('''
     ... rules: [{name: a, then: {importance: low, deadline: 2, idempotent: true}}]
     ... ''').rules
-    >>> ruled = apply_rule(Route("r", "h", "/", (WeightedService("s"),)), rule).route
-    >>> ruled.priority, ruled.timeout, ruled.idempotent
+    >>> changed = apply_rule(Route("r", "h", "/", (WeightedService("s"),)), rule).route
+    >>> changed.priority, changed.timeout, changed.idempotent
     (3, 2.0, False)
     """
     level = importance_of_priority(route.priority)
     if rule is None:
         return RouteDecision("-", replace(route, priority=level))
     action = rule.action
-    timeout, most = route.timeout, route.most_upstreams
+    timeout, max_upstreams = route.timeout, route.most_upstreams
     if action.deadline is not None:
         timeout = min(timeout, action.deadline)
     if action.attempts is not None:
-        most = min(most, 1 + action.attempts)
-    ruled = replace(
+        max_upstreams = min(max_upstreams, 1 + action.attempts)
+    changed = replace(
         route,
         priority=level if action.importance is None else int(action.importance),
         timeout=timeout,
         idempotent=route.idempotent and action.idempotent is not False,
-        most_upstreams=most,
+        most_upstreams=max_upstreams,
     )
-    return RouteDecision(rule.name, ruled, action.data_centre, action.refuse_after)
+    return RouteDecision(rule.name, changed, action.data_centre, action.refuse_after)
--- a/packages/rattanfork-core/rattanfork_core/rules/rule.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/rule.py
@@ -1,4 +1,4 @@
-"""One rule."""
+"""A rule in the form in which requests are matched against it."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """When the condition holds, the action is taken."""
+    """An action for all requests that match a condition."""
 
     name: str
     condition: Condition
@@ -17,5 +17,5 @@
 
     @classmethod
     def of(cls, model: RuleModel) -> "Rule":
-        """Return the rule a document states."""
+        """Return the rule of a validated document."""
         return cls(model.name, Condition.of(model.when), Action.of(model.then))
--- a/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
@@ -1,13 +1,13 @@
-"""Rules in their order, indexed."""
+"""Ordered rules, indexed for matching."""
 
 from rattanfork_core.rules.document import ObjectiveModel, RulesDocument
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.rule import Rule
 
-#: Services and operations come from URLs: the index must stay bounded.
-_MOST_INDEXED = 4096
-#: Rules that are compared one by one without narrowing them further.
-_FEW = 4
+#: Maximum entries of each index; its keys come from URLs and are unbounded.
+_MAX_INDEX_ENTRIES = 4096
+#: Number of candidate rules up to which the second index is not used.
+_MAX_LINEAR_RULES = 4
 
 
 class RuleSet:
@@ -16,9 +16,9 @@
     Explanation
     ===========
 
-    Rules whose service and operation cannot match are left out once for each
-    pair of service and operation, so that a request is only compared with
-    the few that may hold.
+    For each pair of service and operation, the rules that can match are cached, so
+    that a request is compared with few rules.  If many remain, a second cache uses
+    all properties of the request except load and attempt.
 
     Examples
     ========
@@ -37,7 +37,7 @@
         self._document = document
         self._rules = tuple(Rule.of(model) for model in document.rules)
         self._index: dict[tuple[str, str], tuple[Rule, ...]] = {}
-        self._fine_index: dict[tuple, tuple[Rule, ...]] = {}
+        self._request_index: dict[tuple, tuple[Rule, ...]] = {}
 
     @property
     def rules(self) -> tuple[Rule, ...]:
@@ -50,19 +50,19 @@
         return self._document.objectives
 
     def first_match(self, facts: RequestFacts) -> Rule | None:
-        """Return the rule that decides the request, if any."""
+        """Return the first rule that matches the request, if any."""
         key = (facts.service, facts.operation)
         candidates = self._index.get(key)
         if candidates is None:
-            candidates = self._narrow(key)
-        if len(candidates) > _FEW:
-            candidates = self._narrow_further(facts, candidates)
+            candidates = self._service_candidates(key)
+        if len(candidates) > _MAX_LINEAR_RULES:
+            candidates = self._match_candidates(facts, candidates)
         for rule in candidates:
             if rule.condition.matches(facts):
                 return rule
         return None
 
-    def _narrow(self, key: tuple[str, str]) -> tuple[Rule, ...]:
+    def _service_candidates(self, key: tuple[str, str]) -> tuple[Rule, ...]:
         service, operation = key
         candidates = tuple(
             rule
@@ -70,12 +70,12 @@
             if rule.condition.service.matches(service)
             and rule.condition.operation.matches(operation)
         )
-        if len(self._index) >= _MOST_INDEXED:
+        if len(self._index) >= _MAX_INDEX_ENTRIES:
             self._index.clear()
         self._index[key] = candidates
         return candidates
 
-    def _narrow_further(
+    def _match_candidates(
         self, facts: RequestFacts, candidates: tuple[Rule, ...]
     ) -> tuple[Rule, ...]:
         key = (
@@ -86,10 +86,10 @@
             facts.data_centre,
             facts.importance,
         )
-        narrow = self._fine_index.get(key)
-        if narrow is None:
-            narrow = tuple(r for r in candidates if r.condition.may_match(facts))
-            if len(self._fine_index) >= _MOST_INDEXED:
-                self._fine_index.clear()
-            self._fine_index[key] = narrow
-        return narrow
+        matching = self._request_index.get(key)
+        if matching is None:
+            matching = tuple(r for r in candidates if r.condition.may_match(facts))
+            if len(self._request_index) >= _MAX_INDEX_ENTRIES:
+                self._request_index.clear()
+            self._request_index[key] = matching
+        return matching
--- a/packages/rattanfork-core/rattanfork_core/rules/tests/test_rules.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The first match decides; every fault of a document is found at once."""
+"""The first matching rule applies; all errors of a document are reported."""
 
 import pytest
 from hypothesis import given
@@ -37,7 +37,7 @@
 
 
 @given(st.lists(CONDITIONS, max_size=8), FACTS)
-def test_the_first_rule_that_holds_decides(conditions, facts):
+def test_first_matching_rule_applies(conditions, facts):
     document = RulesDocument.model_validate(
         {
             "rules": [
@@ -47,15 +47,15 @@
         }
     )
     rules = RuleSet(document)
-    holding = [r for r in rules.rules if r.condition.matches(facts)]
-    expected = holding[0] if holding else None
+    matching = [r for r in rules.rules if r.condition.matches(facts)]
+    expected = matching[0] if matching else None
     assert rules.first_match(facts) is expected
     explained = explain(rules, facts)
     assert explained.rule is expected
-    assert all(why for _, why in explained.passed_over)
+    assert all(mismatches for _, mismatches in explained.passed_over)
 
 
-def test_all_findings_are_reported_with_their_places():
+def test_all_errors_are_reported_with_their_positions():
     text = """\
 rules:
 - name: a
@@ -67,8 +67,8 @@
 """
     with pytest.raises(FindingsError) as caught:
         load_rules(text, "r.yaml")
-    places = [(f.line, f.column) for f in caught.value.findings]
-    assert places == [(3, 3), (4, 22), (4, 40), (6, 9), (7, 20)]
+    positions = [(f.line, f.column) for f in caught.value.findings]
+    assert positions == [(3, 3), (4, 22), (4, 40), (6, 9), (7, 20)]
 
 
 @pytest.mark.parametrize(
@@ -83,17 +83,17 @@
         "? [a]\n: b",
     ],
 )
-def test_bad_documents_give_findings_and_nothing_else(text):
+def test_invalid_document_raises_findings_error(text):
     with pytest.raises(FindingsError):
         load_rules(text)
 
 
 @given(st.text(max_size=60))
-def test_any_text_gives_rules_or_findings(text):
+def test_any_text_gives_rules_or_errors(text):
     try:
         load_rules(text)
     except FindingsError as error:
-        found = error.findings
+        findings = error.findings
     else:
         return
-    assert found
+    assert findings
--- a/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
@@ -1,4 +1,4 @@
-"""YAML documents as validated models, with the place of every fault."""
+"""Loading of YAML documents into validated models, with positions of all errors."""
 
 from typing import Any, TypeVar
 
@@ -9,14 +9,14 @@
 
 Model = TypeVar("Model", bound=BaseModel)
 
-#: Documents nested deeper than this are refused before they are read.
-_DEEPEST = 50
-#: Longest document taken, in characters.
+#: Maximum nesting depth of a document.
+_MAX_DEPTH = 50
+#: Maximum length of a document, in characters.
 MAX_DOCUMENT_LENGTH = 4_000_000
 
 
 def load_yaml_model(text: str, model: type[Model], source: str) -> Model:
-    """Return a document as a validated model.
+    """Parse a YAML document and validate it.
 
     Parameters
     ==========
@@ -26,14 +26,14 @@
     model : type
         The model to validate against.
     source : str
-        Name of the document in findings.
+        Name of the document in error messages.
 
     Raises
     ======
 
     FindingsError
-        With every fault found: bad YAML, doubled or unknown keys, wrong
-        types, values out of range, contradictions.
+        With every error found: invalid YAML, duplicate or unknown keys, wrong
+        types, values out of range, contradictory values.
 
     Examples
     ========
@@ -54,7 +54,7 @@
     try:
         value = model.model_validate({} if data is None else data)
     except ValidationError as error:
-        findings += [_locate(root, fault, source) for fault in error.errors()]
+        findings += [_locate(root, detail, source) for detail in error.errors()]
     if findings:
         findings.sort(key=lambda f: (f.line, f.column))
         raise FindingsError(findings)
@@ -63,16 +63,18 @@
 
 def _compose(text: str, source: str) -> yaml.Node | None:
     if len(text) > MAX_DOCUMENT_LENGTH:
-        raise FindingsError([Finding(source, 1, 1, "the document is too long")])
+        raise FindingsError([Finding(source, 1, 1, "document exceeds maximum length")])
     try:
         return yaml.compose(text, Loader=yaml.CSafeLoader)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         line, column = (mark.line + 1, mark.column + 1) if mark else (1, 1)
-        message = error.problem or error.context or "not YAML"
+        message = error.problem or error.context or "invalid YAML"
         raise FindingsError([Finding(source, line, column, message)]) from error
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        raise FindingsError([Finding(source, 1, 1, f"not YAML: {error}")]) from error
+        raise FindingsError(
+            [Finding(source, 1, 1, f"invalid YAML: {error}")]
+        ) from error
 
 
 def _finding(node: yaml.Node, source: str, message: str) -> Finding:
@@ -83,10 +85,9 @@
 def _construct(
     node: yaml.Node, source: str, findings: list[Finding], depth: int
 ) -> Any:
-    if depth > _DEEPEST:
-        # Aliases can make a small document endless; reading it would end in
-        # a stack overflow.
-        raise FindingsError([_finding(node, source, "nested too deeply")])
+    if depth > _MAX_DEPTH:
+        # A recursive alias nests without end and would overflow the stack.
+        raise FindingsError([_finding(node, source, "document exceeds maximum depth")])
     if isinstance(node, yaml.MappingNode):
         return _construct_mapping(node, source, findings, depth)
     if isinstance(node, yaml.SequenceNode):
@@ -94,7 +95,7 @@
     try:
         return yaml.constructor.SafeConstructor().construct_object(node)
     except (yaml.YAMLError, ValueError) as error:
-        findings.append(_finding(node, source, f"not a value: {error}"))
+        findings.append(_finding(node, source, f"invalid value: {error}"))
         return None
 
 
@@ -105,28 +106,28 @@
     for key_node, value_node in node.value:
         key = key_node.value if isinstance(key_node, yaml.ScalarNode) else None
         if key is None:
-            findings.append(_finding(key_node, source, "a key must be plain text"))
+            findings.append(_finding(key_node, source, "key must be a scalar"))
             continue
         if key in data:
-            findings.append(_finding(key_node, source, f"key {key!r} stands twice"))
+            findings.append(_finding(key_node, source, f"duplicate key {key!r}"))
         data[key] = _construct(value_node, source, findings, depth + 1)
     return data
 
 
-def _locate(root: yaml.Node | None, fault: Any, source: str) -> Finding:
-    node, key_node = _find(root, fault["loc"])
-    path = ".".join(str(part) for part in fault["loc"])
-    if fault["type"] == "extra_forbidden":
-        message = f"unknown key {str(fault['loc'][-1])!r}"
+def _locate(root: yaml.Node | None, detail: Any, source: str) -> Finding:
+    node, key_node = _find_node(root, detail["loc"])
+    path = ".".join(str(part) for part in detail["loc"])
+    if detail["type"] == "extra_forbidden":
+        message = f"unknown key {str(detail['loc'][-1])!r}"
         node = key_node or node
     else:
-        message = f"{path}: {fault['msg']}" if path else fault["msg"]
+        message = f"{path}: {detail['msg']}" if path else detail["msg"]
     if node is None:
         return Finding(source, 1, 1, message)
     return _finding(node, source, message)
 
 
-def _find(
+def _find_node(
     root: yaml.Node | None, path: tuple[Any, ...]
 ) -> tuple[yaml.Node | None, yaml.Node | None]:
     node, key_node = root, None
--- a/packages/rattanfork-core/rattanfork_core/settings/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a node as validated models."""
+"""The settings file of a node, as validated models."""
 
 from rattanfork_core.settings.load import load_settings
 from rattanfork_core.settings.models import (
--- a/packages/rattanfork-core/rattanfork_core/settings/load.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/load.py
@@ -1,4 +1,4 @@
-"""Settings from their YAML text."""
+"""Loading of settings from YAML."""
 
 from rattanfork_core.rules import load_yaml_model
 from rattanfork_core.settings.models import NodeSettings
@@ -11,7 +11,7 @@
     ======
 
     FindingsError
-        With every fault and its place.
+        If the document is invalid, with every error and its position.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -1,4 +1,4 @@
-"""The settings document of a node."""
+"""Models of a node's settings file."""
 
 from ipaddress import IPv4Address
 from typing import Annotated, Self
@@ -16,9 +16,9 @@
 
 
 class UpstreamSettings(_Strict):
-    """The upstream instance beside the node.
+    """The upstream instance that the node forwards requests to.
 
-    ``slots`` and ``connections`` hold until the upstream announces its own.
+    ``slots`` and ``connections`` apply until the upstream announces its own values.
     """
 
     url: Url
@@ -28,9 +28,9 @@
     warmup: float = Field(2.0, ge=0, le=600)
 
     @model_validator(mode="after")
-    def _connections_suffice(self) -> Self:
+    def _check_connections(self) -> Self:
         if self.connections < self.slots:
-            raise ValueError("connections must not be fewer than slots")
+            raise ValueError("connections must be at least slots")
         return self
 
 
@@ -42,13 +42,13 @@
 
 
 class SecuritySettings(_Strict):
-    """The secret by which nodes prove that they belong."""
+    """The shared secret with which nodes authenticate each other."""
 
     key: str = Field(min_length=16, max_length=1000)
 
 
 class LimitSettings(_Strict):
-    """Bounds on what a node takes in."""
+    """Maximum body size in bytes, and maximum numbers of callers and requests."""
 
     body: int = Field(1 << 20, ge=1024, le=16 << 20)
     callers: int = Field(2000, ge=1, le=100_000)
@@ -56,7 +56,7 @@
 
 
 class RequestSettings(_Strict):
-    """Defaults where neither the caller nor a rule says otherwise."""
+    """Defaults for values that neither the caller nor a rule sets."""
 
     deadline: float = Field(2.0, gt=0, le=600)
     longest_deadline: float = Field(60.0, gt=0, le=600)
@@ -65,14 +65,14 @@
     silence: float = Field(0.6, ge=0.2, le=60)
 
     @model_validator(mode="after")
-    def _default_fits(self) -> Self:
+    def _check_deadline(self) -> Self:
         if self.deadline > self.longest_deadline:
             raise ValueError("deadline must not exceed longest_deadline")
         return self
 
 
 class RulesSettings(_Strict):
-    """How the accepted rules are learned."""
+    """How a node learns the rules in force."""
 
     data_centres_needed: int = Field(2, ge=1, le=15)
     readers: int = Field(2, ge=1, le=10)
@@ -80,7 +80,7 @@
 
 
 class TelemetrySettings(_Strict):
-    """Where metrics and logs go."""
+    """Destinations of metrics and logs."""
 
     otlp_endpoint: str | None = None
     export_interval: float = Field(10.0, gt=0, le=600)
@@ -109,7 +109,7 @@
     telemetry: TelemetrySettings = TelemetrySettings()
 
     @model_validator(mode="after")
-    def _ports_differ(self) -> Self:
+    def _check_ports(self) -> Self:
         ports = [self.edge_port, self.peer_port, self.admin_port]
         if len(set(ports)) < len(ports):
             raise ValueError("edge_port, peer_port and admin_port must differ")
