--- a/packages/rattanfork-core/rattanfork_core/trace/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/__init__.py
@@ -1,4 +1,4 @@
-"""Lines about requests: which are written, and what they tell afterwards."""
+"""Request logging: sampling of lines at the node, and analysis of logs afterwards."""
 
 from rattanfork_core.trace.log_line import LogLine, parse_line, parse_lines
 from rattanfork_core.trace.log_sampler import LogSampler
--- a/packages/rattanfork-core/rattanfork_core/trace/log_line.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/log_line.py
@@ -1,4 +1,4 @@
-"""One line of a node's log."""
+"""Parsing of a node's JSON log lines."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a node's log.
+    """A parsed line of a node's log.
 
     Parameters
     ==========
 
     at : float
-        Time of day at the node, in seconds since 1970; nodes may differ.
+        Wall-clock time at the node, in seconds since 1970; clocks of nodes may differ.
     instance : str
-        The node's instance; "" if the line does not say.
+        The node's instance; "" if the line has none.
     kind : str
-        What happened.
+        The event.
     request_id : str
-        The request that it is about, or "".
+        The request that the event belongs to, or "".
     fields : dict
-        All else.
+        All other fields.
     """
 
     at: float
@@ -34,15 +34,15 @@
     fields: dict[str, Any] = field(default_factory=dict)
 
     def get(self, name: str, default: object = "") -> Any:
-        """Return a field."""
+        """Return the value of a field, or the default."""
         return self.fields.get(name, default)
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the line of a text, or None if it is not one of a node.
+    """Parse a log line; return None if no node wrote it.
 
-    Whatever stands before the first brace is passed over: collectors put the
-    name of a host or a time of their own there.
+    Text before the first brace is ignored, since log collectors prepend a host name
+    or a time there.
 
     Examples
     ========
@@ -75,7 +75,7 @@
 
 
 def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines of nodes among some texts."""
+    """Parse log lines, and skip those that no node wrote."""
     for text in texts:
         line = parse_line(text)
         if line is not None:
--- a/packages/rattanfork-core/rattanfork_core/trace/log_sampler.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/log_sampler.py
@@ -1,35 +1,35 @@
-"""Bound on the lines that a process writes about requests."""
+"""Sampling and rate limit of a node's request log."""
 
 from collections import Counter
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import request_tiebreak
 
-#: Lines in a second.  At some 350 bytes and 10 us each, to gather, encode and
-#: write, a node spends 35 kB a second and 0.1% of a core on them at most.
-_RATE = 100.0
-#: Lines that may be written at once after a quiet time.
-_BURST = 300.0
-#: Part of the burst below which requests that went well are sampled, and part
-#: below which none is written: what failed has the rest for itself.
+#: Lines per second.  At about 350 bytes and 10 us per line to collect, encode and
+#: write, this costs a node at most 35 kB per second and 0.1% of a core.
+_LINES_PER_SECOND = 100.0
+#: Maximum lines in a burst.
+_BURST_LINES = 300.0
+#: Fraction of the burst tokens below which successful requests are sampled, and
+#: fraction below which they are omitted, to reserve the rest for failures.
 _SAMPLE_BELOW = 0.5
-_NONE_BELOW = 0.25
-#: Share of the requests that are kept in a sample.
-_SAMPLE = 1 / 16
+_OMIT_BELOW = 0.25
+#: Fraction of the successful requests in the sample.
+_SAMPLE_RATE = 1 / 16
 
 
 class LogSampler:
-    """Decides which lines are written.
+    """Decides which request log lines are written.
 
     Explanation
     ===========
 
-    With little load each decision gets its line.  Under load requests that
-    went well are sampled by the ID of the request at the top of the chain, so
-    all nodes keep the same ones and their stories are whole; with still more,
-    only what failed, was refused or came late is written, until the budget is
-    spent.  What is left out is counted, so that a missing line is told from
-    an event that never was.
+    A token bucket limits the lines.  At low load every line is written.  At higher
+    load successful requests are sampled by the ID of the root request, so all nodes
+    log the same ones and their traces are complete.  At still higher load only
+    failed, refused and late requests are logged, until the tokens are used up.
+    Omitted lines are counted, so that a missing line is not mistaken for an event
+    that did not happen.
 
     Parameters
     ==========
@@ -37,65 +37,65 @@
     clock : Clock
         Source of the current time.
     rate : float
-        Lines in a second.
+        Lines per second.
     burst : float
-        Most lines at once.
+        Maximum lines in a burst.
 
     Examples
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> budget = LogSampler(ManualClock(), rate=1, burst=4)
-    >>> [budget.should_write(b"r1", plain=False) for _ in range(5)]
+    >>> sampler = LogSampler(ManualClock(), rate=1, burst=4)
+    >>> [sampler.should_write(b"r1", plain=False) for _ in range(5)]
     [True, True, True, True, False]
-    >>> budget.take_omitted()
+    >>> sampler.take_omitted()
     {'trouble': 1}
     """
 
     def __init__(
-        self, clock: Clock, rate: float = _RATE, burst: float = _BURST
+        self, clock: Clock, rate: float = _LINES_PER_SECOND, burst: float = _BURST_LINES
     ) -> None:
         self._clock = clock
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at = clock.now()
-        self._left_out: Counter[str] = Counter()
+        self._refilled_at = clock.now()
+        self._omitted: Counter[str] = Counter()
 
     def should_write(self, request_id: bytes, plain: bool) -> bool:
-        """Return whether a line may be written, and count it.
+        """Return whether to write a line; count it as omitted if not.
 
         Parameters
         ==========
 
         request_id : bytes
-            ID of the request, or of a call that was made for it.
+            ID of the request, or of a downstream call made for it.
         plain : bool
-            Whether all went well.
+            Whether the request succeeded in time.
         """
-        self._fill()
+        self._refill()
         if self._may_write(request_id, plain):
             self._tokens -= 1
             return True
-        self._left_out["plain" if plain else "trouble"] += 1
+        self._omitted["plain" if plain else "trouble"] += 1
         return False
 
     def take_omitted(self) -> dict[str, int]:
-        """Return how many lines were left out since the last call, by kind."""
-        left_out, self._left_out = dict(self._left_out), Counter()
-        return left_out
+        """Return and reset the number of omitted lines, by kind."""
+        omitted, self._omitted = dict(self._omitted), Counter()
+        return omitted
 
     def _may_write(self, request_id: bytes, plain: bool) -> bool:
         if self._tokens < 1:
             return False
         if not plain or self._tokens > _SAMPLE_BELOW * self._burst:
             return True
-        if self._tokens <= _NONE_BELOW * self._burst:
+        if self._tokens <= _OMIT_BELOW * self._burst:
             return False
         root = request_id.partition(b".")[0]
-        return request_tiebreak(root.decode("latin-1")) < _SAMPLE
+        return request_tiebreak(root.decode("latin-1")) < _SAMPLE_RATE
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.now()
-        passed, self._filled_at = now - self._filled_at, now
-        self._tokens = min(self._burst, self._tokens + passed * self._rate)
+        elapsed, self._refilled_at = now - self._refilled_at, now
+        self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
--- a/packages/rattanfork-core/rattanfork_core/trace/losses.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/losses.py
@@ -1,4 +1,4 @@
-"""Why callers' requests were not answered whole and within their objective."""
+"""Causes of callers' requests that failed or missed their latency objective."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -6,33 +6,34 @@
 
 from rattanfork_core.trace.log_line import LogLine
 
-#: Causes that are not the reason of a line as it stands.
+#: Causes other than the reason in the log line.
 LATE = "late"
 CALL_FAILED = "call-failed"
 UNKNOWN_PLACE = "-"
-#: Where the time of a request goes, in the order of its way.
+#: Components of a request's latency, in the order in which they occur.
 LATENCY_PARTS = ("first-node", "earlier-attempts", "crossing", "gate", "run", "calls")
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Requests of one route that were lost for one cause in a span of time.
+    """Number of a route's lost requests in one interval, for one cause and place.
 
     Parameters
     ==========
 
     begins : float
-        Start of the span, in seconds since 1970.
+        Start of the interval, in seconds since 1970.
     route : str
-        Their route; ``-`` where none covers them.
+        The route; ``-`` if none matched.
     cause : str
-        Why: the reason at the first node; ``call-failed`` where the upstream
-        failed after a call of its run had; ``late`` for a whole answer after the
-        objective.
+        The reason at the first node; ``call-failed`` if the upstream failed after
+        one of its downstream calls had; ``late`` for a successful response after
+        the latency objective.
     place : str
-        The service or instance that it comes down to; ``-`` if no line tells.
+        For ``late`` the largest component of the latency, otherwise the service or
+        instance that caused the loss; ``-`` if no line shows it.
     count : int
-        How many.
+        Number of requests.
     """
 
     begins: float
@@ -44,22 +45,22 @@
 
 @dataclass(slots=True)
 class LossReport:
-    """All losses, with what they are a part of.
+    """All losses found in the lines, with totals.
 
     Parameters
     ==========
 
     losses : list of Loss
-        By span, route, cause and place; their counts add up to ``lost``.
+        By interval, route, cause and place; their counts add up to ``lost``.
     lost : int
-        Callers' requests with a line that were lost.
+        Lost requests that have a log line.
     counted : dict
-        All lost requests by ``route/cause``, as the nodes counted them up to their
-        last sum; lines are left out under load, counts are not.
+        All lost requests by ``route/cause``, from the nodes' periodic counters.  These
+        are complete, while lines are omitted under load.
     late : dict
-        Mean seconds of a late request by route and part of :data:`LATENCY_PARTS`.
+        Mean seconds per component of :data:`LATENCY_PARTS` of late requests, by route.
     left_out : dict
-        Lines that nodes left out under load, by kind: losses beyond those told.
+        Lines that nodes omitted under load, by kind; they may include more losses.
     """
 
     losses: list[Loss]
@@ -69,48 +70,48 @@
     left_out: dict[str, int]
 
 
-class _Sums:
-    """Adds up counts of processes that start anew from nothing."""
+class _CounterTotals:
+    """Sums counters of processes; a counter restarts from 0 with its process."""
 
     def __init__(self) -> None:
         self._last: dict[tuple[str, str], int] = {}
         self._totals: Counter[str] = Counter()
 
     def add(self, instance: str, counts: dict[str, int]) -> None:
-        """Take what a process has counted since its start."""
+        """Add the counters of a process, which count from its start."""
         for key, count in counts.items():
-            before = self._last.get((instance, key), 0)
-            self._totals[key] += count - before if count >= before else count
+            previous = self._last.get((instance, key), 0)
+            self._totals[key] += count - previous if count >= previous else count
             self._last[instance, key] = count
 
     def totals(self) -> dict[str, int]:
-        """Return all counts, the largest first."""
+        """Return all totals, largest first."""
         return dict(self._totals.most_common())
 
 
 @dataclass(slots=True)
-class _Lines:
-    """Lines about requests, by what is asked of them."""
+class _GroupedLines:
+    """Lines of callers' requests, runs and calls, and sums of other fields."""
 
     callers: list[LogLine] = field(default_factory=list)
     runs: dict[str, LogLine] = field(default_factory=dict)
     calls: dict[str, list[LogLine]] = field(default_factory=lambda: defaultdict(list))
     left_out: Counter[str] = field(default_factory=Counter)
-    sums: _Sums = field(default_factory=_Sums)
+    sums: _CounterTotals = field(default_factory=_CounterTotals)
 
 
 def loss_cause(status: int, reason: str, late: bool) -> str | None:
-    """Return why a caller's request is lost, as its first node knows it.
+    """Return the cause for which a caller's request counts as lost, or None.
 
     Parameters
     ==========
 
     status : int
-        Status of its final answer.
+        Status of the final response.
     reason : str
-        Label of the reason of its outcome.
+        Label of the reason of the outcome.
     late : bool
-        Whether the answer came after the route's objective.
+        Whether the response missed the route's latency objective.
 
     Examples
     ========
@@ -126,20 +127,20 @@
     """
     if 200 <= status < 300:
         return LATE if late else None
-    # An upstream that fails by itself has a reason of its own.
+    # The reason is set if the upstream failed without a failed downstream call.
     return CALL_FAILED if reason == "none" and status >= 500 else reason
 
 
 def count_losses(lines: Iterable[LogLine], span: float) -> LossReport:
-    """Return why callers' requests were lost, by route and span of time.
+    """Count lost requests of callers by interval, route, cause and place.
 
     Explanation
     ===========
 
-    Each caller's request has one line at its first node, which says whether it
-    was answered with success within the route's objective; each that was not
-    counts once.  A caller that was refused and came back has sent another
-    request under another ID, so lines can't tell the two from two callers.
+    The first node writes one line for each request of a caller, with its status
+    and latency.  A request counts as lost once if it had no successful response
+    within the route's latency objective.  A retry by the caller has a new request
+    ID and counts as a separate request.
 
     Parameters
     ==========
@@ -147,7 +148,7 @@
     lines : iterable of LogLine
         Lines of any nodes, in any order.
     span : float
-        Seconds of each span; above 0.
+        Length of each interval in seconds; above 0.
 
     Raises
     ======
@@ -167,29 +168,29 @@
     """
     if span <= 0:
         raise ValueError("the span must be above 0")
-    sorted_lines = _sort(lines)
+    grouped = _group(lines)
     counts: Counter[tuple[float, str, str, str]] = Counter()
     late: dict[str, list[dict[str, float]]] = defaultdict(list)
-    for line in sorted_lines.callers:
-        found = _cause(line, sorted_lines)
+    for line in grouped.callers:
+        found = _cause(line, grouped)
         if found is None:
             continue
         cause, place = found
         route = line.get("route") or UNKNOWN_PLACE
         counts[line.at // span * span, route, cause, place] += 1
         if cause == LATE:
-            late[route].append(_parts(line, sorted_lines))
+            late[route].append(_parts(line, grouped))
     return LossReport(
         [Loss(*key, count) for key, count in sorted(counts.items())],
         sum(counts.values()),
-        sorted_lines.sums.totals(),
+        grouped.sums.totals(),
         {route: _mean(parts) for route, parts in sorted(late.items())},
-        dict(sorted_lines.left_out),
+        dict(grouped.left_out),
     )
 
 
-def _sort(lines: Iterable[LogLine]) -> _Lines:
-    found = _Lines()
+def _group(lines: Iterable[LogLine]) -> _GroupedLines:
+    found = _GroupedLines()
     for line in lines:
         if line.kind == "request":
             if line.get("call"):
@@ -214,8 +215,8 @@
     return objective is not None and line.get("ms", 0) > objective
 
 
-def _cause(line: LogLine, lines: _Lines) -> tuple[str, str] | None:
-    """Return why a request was lost and what it comes down to; None if it was not."""
+def _cause(line: LogLine, lines: _GroupedLines) -> tuple[str, str] | None:
+    """Return the cause and place of a loss; None if the request was not lost."""
     reason = str(line.get("reason", "none"))
     cause = loss_cause(line.get("status", 0), reason, _is_late(line))
     if cause is None:
@@ -230,8 +231,8 @@
     return cause, str(line.get("service") or UNKNOWN_PLACE)
 
 
-def _failed_service(request_id: str, lines: _Lines) -> str:
-    """Return the service of the deepest call that failed under a request."""
+def _failed_service(request_id: str, lines: _GroupedLines) -> str:
+    """Return the service of the deepest failed call below a request."""
     for call in lines.calls.get(request_id, ()):
         if not _is_success(call):
             deeper = _failed_service(call.request_id, lines)
@@ -240,18 +241,18 @@
     return UNKNOWN_PLACE
 
 
-def _parts(line: LogLine, lines: _Lines) -> dict[str, float]:
-    """Return the seconds of a request by part; what no line tells is crossing."""
-    tries = [attempt.get("ms") or 0.0 for attempt in line.get("tries", [])]
-    last = tries[-1] if tries else 0.0
+def _parts(line: LogLine, lines: _GroupedLines) -> dict[str, float]:
+    """Return the seconds of a request by component; ``crossing`` gets the rest."""
+    attempt_times = [attempt.get("ms") or 0.0 for attempt in line.get("tries", [])]
+    last = attempt_times[-1] if attempt_times else 0.0
     run = lines.runs.get(line.request_id)
     queued = (run.get("queued_ms") or 0.0) if run is not None else 0.0
     ran = (run.get("run_ms") or 0.0) if run is not None else 0.0
     calls = sum(call.get("ms", 0.0) for call in lines.calls.get(line.request_id, ()))
     calls = min(calls, ran)
     seconds = (
-        line.get("ms", 0.0) - sum(tries),
-        sum(tries) - last,
+        line.get("ms", 0.0) - sum(attempt_times),
+        sum(attempt_times) - last,
         last - queued - ran,
         queued,
         ran - calls,
--- a/packages/rattanfork-core/rattanfork_core/trace/request_trace.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/request_trace.py
@@ -1,13 +1,12 @@
-"""What the lines of several nodes tell of one request."""
+"""Trace of one request from the log lines of several nodes."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
 from rattanfork_core.trace.log_line import LogLine
 
-#: Lines that tell of a process and not of a request, and bear on all requests
-#: at their instance.
-_OF_PROCESS = frozenset(
+#: Events of a process that may affect all requests at its instance.
+_PROCESS_EVENTS = frozenset(
     (
         "started",
         "stopped",
@@ -22,25 +21,25 @@
         "rules_in_force",
     )
 )
-#: Seconds around a request in which lines of its instances' processes are shown.
-_AROUND = 5.0
+#: Seconds before and after a request in which process events are included.
+_MARGIN_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class TraceEvent:
-    """One step of a request's story.
+    """An event in the trace of a request.
 
     Parameters
     ==========
 
     at : float
-        Time of day at the node, in seconds.
+        Wall-clock time at the node, in seconds since 1970.
     instance : str
-        Where.
+        The instance whose node wrote the line.
     depth : int
-        How deep in the tree of calls; 0 is the request asked for.
+        Depth in the call tree; 0 is the traced request.
     text : str
-        What happened, with the inputs that decided it.
+        Description of the event, with the inputs of the node's decision.
     """
 
     at: float
@@ -50,21 +49,21 @@
 
 
 def trace_request(request_id: str, lines: Iterable[LogLine]) -> list[TraceEvent]:
-    """Return the steps of a request and of the calls made for it, in order.
+    """Return the events of a request and its downstream calls, ordered by time.
 
     Explanation
     ===========
 
-    The ID of a call begins with that of the run that made it and a dot.  Lines
-    of processes are told too, for the instances that the request touched and
-    some seconds around it: a node that was killed writes no last line, and
-    only its next start tells what became of the request.
+    The ID of a downstream call is the ID of the request that made it, a dot and a
+    suffix.  Process events of the instances involved, shortly before and after the
+    request, are included: a killed node writes no final line, and only its next
+    start shows why the request was lost.
 
     Parameters
     ==========
 
     request_id : str
-        ID of the request; that of a call tells of the call alone.
+        ID of the request, or of a downstream call to trace only that call.
     lines : iterable of LogLine
         Lines of any nodes, in any order.
 
@@ -73,7 +72,7 @@
 
     >>> line = LogLine(1.0, "n1", "request", "r", {"route": "a",
     ...     "outcome": "not-run", "reason": "shed-early", "status": 503})
-    >>> [step.text for step in trace_request("r", [line])]
+    >>> [event.text for event in trace_request("r", [line])]
     ['route a: not-run (shed-early), answered 503']
     """
     prefix = request_id + "."
@@ -82,37 +81,37 @@
     for line in lines:
         if line.request_id == request_id or line.request_id.startswith(prefix):
             own.append(line)
-        elif line.kind in _OF_PROCESS:
+        elif line.kind in _PROCESS_EVENTS:
             process.append(line)
     if not own:
         return []
-    first = min(line.at for line in own) - _AROUND
-    last = max(line.at for line in own) + _AROUND
-    places = _instances_of(own)
-    near = [n for n in process if first <= n.at <= last and n.instance in places]
-    steps = [_step(line, request_id) for line in own + near]
-    return sorted(steps, key=lambda step: step.at)
+    first = min(line.at for line in own) - _MARGIN_SECONDS
+    last = max(line.at for line in own) + _MARGIN_SECONDS
+    instances = _instances_of(own)
+    near = [n for n in process if first <= n.at <= last and n.instance in instances]
+    events = [_event(line, request_id) for line in own + near]
+    return sorted(events, key=lambda event: event.at)
 
 
 def _instances_of(lines: list[LogLine]) -> set[str]:
-    places = {line.instance for line in lines}
+    instances = {line.instance for line in lines}
     for line in lines:
         for attempt in line.get("tries", []):
-            places.add(str(attempt.get("to", "")).partition("@")[0])
-    return places
+            instances.add(str(attempt.get("to", "")).partition("@")[0])
+    return instances
 
 
-def _step(line: LogLine, request_id: str) -> TraceEvent:
+def _event(line: LogLine, request_id: str) -> TraceEvent:
     depth = line.request_id.count(".") - request_id.count(".")
     if line.kind == "run":
         depth += 1
-    tell = _TELLERS.get(line.kind, _tell_change)
-    return TraceEvent(line.at, line.instance, max(0, depth), tell(line))
+    describe = _DESCRIPTIONS.get(line.kind, _describe_change)
+    return TraceEvent(line.at, line.instance, max(0, depth), describe(line))
 
 
-def _tell_request(line: LogLine) -> str:
+def _describe_request(line: LogLine) -> str:
     parts = [f"route {line.get('route', '-')}: {_outcome(line)}"]
-    parts += [_try(n, t) for n, t in enumerate(line.get("tries", []), 1)]
+    parts += [_attempt(n, t) for n, t in enumerate(line.get("tries", []), 1)]
     parts += _inputs(
         line,
         "ms",
@@ -125,16 +124,16 @@
     )
     thresholds = line.get("thresholds", {})
     if thresholds:
-        heard = (f"{n} {c:g} ({a:.1f} s old)" for n, (c, a) in thresholds.items())
-        parts.append("thresholds heard: " + ", ".join(heard))
+        known = (f"{n} {c:g} ({a:.1f} s old)" for n, (c, a) in thresholds.items())
+        parts.append("thresholds heard: " + ", ".join(known))
     return "; ".join(parts)
 
 
-def _tell_run(line: LogLine) -> str:
-    where = f"at the guard, for {line.get('origin') or 'this node'}"
+def _describe_run(line: LogLine) -> str:
+    origin = f"at the gate, from {line.get('origin') or 'this node'}"
     return "; ".join(
         [
-            f"{where}: {_outcome(line)}",
+            f"{origin}: {_outcome(line)}",
             *_inputs(
                 line,
                 "queued_ms",
@@ -152,14 +151,14 @@
     )
 
 
-def _tell_change(line: LogLine) -> str:
+def _describe_change(line: LogLine) -> str:
     parts = [f"{key} {value}" for key, value in line.fields.items()]
     return "; ".join([line.kind.replace("_", " "), *parts])
 
 
-_TELLERS: dict[str, Callable[[LogLine], str]] = {
-    "request": _tell_request,
-    "run": _tell_run,
+_DESCRIPTIONS: dict[str, Callable[[LogLine], str]] = {
+    "request": _describe_request,
+    "run": _describe_run,
 }
 
 
@@ -172,7 +171,7 @@
     return f"{text}, answered {status}" if status else text
 
 
-def _try(number: int, attempt: dict) -> str:
+def _attempt(number: int, attempt: dict) -> str:
     text = f"try {number} at {attempt.get('to')}: {attempt.get('reason', '-')}"
     if attempt.get("status"):
         text += f" {attempt['status']}"
--- a/packages/rattanfork-core/rattanfork_core/trace/summary.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/summary.py
@@ -1,4 +1,4 @@
-"""Counts of outcomes and reasons over time."""
+"""Counts of request outcomes over time, from log lines."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReasonCount:
-    """How often something came to the same end in a span of time.
+    """Number of requests or runs with the same outcome and reason in an interval.
 
     Parameters
     ==========
 
     begins : float
-        Start of the span, in seconds since 1970.
+        Start of the interval, in seconds since 1970.
     kind : str
-        ``request`` at the node of the caller, ``run`` at a guard.
+        ``request`` at the caller's node, ``run`` at the node of the upstream.
     route : str
         The route, or the route and service of a run.
     outcome, reason : str
-        The end.
+        Outcome and reason as logged.
     count : int
-        Lines that tell of it.
+        Number of log lines.
     """
 
     begins: float
@@ -39,7 +39,7 @@
 def count_reasons(
     lines: Iterable[LogLine], span: float
 ) -> tuple[list[ReasonCount], dict[str, int]]:
-    """Return counts by span and reason, and how many lines were left out.
+    """Count outcomes by interval; return also the number of omitted lines by kind.
 
     Parameters
     ==========
@@ -47,7 +47,7 @@
     lines : iterable of LogLine
         Lines of any nodes, in any order.
     span : float
-        Seconds of each span; above 0.
+        Length of each interval in seconds; above 0.
 
     Raises
     ======
--- a/packages/rattanfork-core/rattanfork_core/trace/tests/test_losses.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Causes of lost requests, from the lines of several nodes."""
+"""Causes of lost requests, from the log lines of several nodes."""
 
 import pytest
 from hypothesis import given
@@ -23,25 +23,25 @@
     return loss.cause, loss.place
 
 
-def test_a_good_answer_is_no_loss():
+def test_successful_response_in_time_is_not_a_loss():
     report = count_losses([request(), run()], span=1)
     assert (report.losses, report.lost, report.late) == ([], 0, {})
 
 
-def test_a_failed_call_is_no_request_of_a_caller():
+def test_failed_downstream_call_is_not_a_loss():
     assert count_losses([request("r.1", status=502, call=True)], span=1).lost == 0
 
 
-def test_a_refusal_comes_down_to_the_lowest_threshold_heard():
+def test_early_shedding_is_attributed_to_lowest_threshold():
     thresholds = {"n2": [2.5, 0.1], "n3": [1.5, 0.4]}
     line = request(status=503, reason="shed-early", thresholds=thresholds)
     assert only(line) == ("shed-early", "n3")
 
 
-def test_a_failed_run_comes_down_to_the_deepest_call_that_failed():
-    """The upstream answers 500 because a call of its run failed.
+def test_failed_run_is_attributed_to_deepest_failed_call():
+    """The upstream responds 500 because a downstream call failed.
 
-    That call failed because one of its own was refused two services deeper.
+    That call failed because one of its own calls was refused.
     """
     lines = (
         request(status=500),
@@ -53,12 +53,12 @@
     assert only(*lines) == ("call-failed", "deep")
 
 
-def test_an_upstream_that_failed_by_itself_is_named():
+def test_upstream_failure_is_attributed_to_its_service():
     line = request(status=500, reason="upstream-failed")
     assert only(line, run()) == ("upstream-failed", "s")
 
 
-def test_a_late_answer_comes_down_to_where_most_of_its_time_went():
+def test_late_response_is_attributed_to_largest_latency_component():
     lines = (
         request(ms=200.0, tries=[{"ms": 20.0}, {"ms": 170.0}]),
         run(queued_ms=10.0, run_ms=150.0),
@@ -79,13 +79,13 @@
     )
 
 
-def test_lines_left_out_are_told():
+def test_omitted_lines_are_summed():
     counted = LogLine(1.0, "n1", "counted", "", {"lines_left_out": {"trouble": 3}})
     assert count_losses([counted, counted], span=1).left_out == {"trouble": 6}
 
 
-def test_counts_of_processes_add_up_over_their_restarts():
-    """A node counts up to 5, is killed, and counts from nothing to 2."""
+def test_counters_add_up_over_process_restarts():
+    """A counter reaches 5, its node is restarted, and it reaches 2."""
 
     def counted(instance: str, count: int) -> LogLine:
         return LogLine(1.0, instance, "counted", "", {"losses": {"a/late": count}})
@@ -94,7 +94,7 @@
     assert count_losses(lines, span=1).counted == {"a/late": 8}
 
 
-def test_a_span_of_nothing_is_refused():
+def test_span_of_zero_is_refused():
     with pytest.raises(ValueError, match="above 0"):
         count_losses([], span=0)
 
@@ -111,13 +111,13 @@
         )
     )
 )
-def test_the_causes_add_up_to_the_whole(lines):
+def test_losses_add_up_to_all_unsuccessful_requests(lines):
     report = count_losses(lines, span=0.5)
-    good = [
+    successful = [
         line
         for line in lines
         if not line.get("call") and line.get("status") == 200 and line.get("ms") <= 100
     ]
     callers = [line for line in lines if not line.get("call")]
-    assert sum(loss.count for loss in report.losses) == len(callers) - len(good)
-    assert report.lost == len(callers) - len(good)
+    assert sum(loss.count for loss in report.losses) == len(callers) - len(successful)
+    assert report.lost == len(callers) - len(successful)
--- a/packages/rattanfork-core/rattanfork_core/trace/tests/test_trace.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Lines about requests: bounded, and enough to find a cause."""
+"""Request log lines: sampling, parsing, traces and counts."""
 
 import json
 
@@ -16,48 +16,42 @@
 )
 
 
-def test_a_tenfold_surge_writes_no_more_lines_than_the_budget():
-    """Requests come ten times as fast as lines may be written, half of them fail.
-
-    Lines stay within rate and burst; those left out are all counted.
-    """
+def test_surge_writes_lines_within_rate_and_counts_the_omitted():
+    """Requests arrive at ten times the line rate, and half of them fail."""
     clock = ManualClock()
-    budget = LogSampler(clock, rate=100, burst=200)
+    sampler = LogSampler(clock, rate=100, burst=200)
     written = left_out = 0
     for i in range(10_000):
         clock.advance(0.001)
-        written += budget.should_write(b"r%d" % i, plain=i % 2 == 0)
-    left_out = sum(budget.take_omitted().values())
+        written += sampler.should_write(b"r%d" % i, plain=i % 2 == 0)
+    left_out = sum(sampler.take_omitted().values())
     assert written <= 200 + 100 * 10
     assert written + left_out == 10_000
 
 
-def test_what_failed_is_written_while_what_went_well_is_left_out():
-    """Many plain requests come first and would spend the whole budget.
-
-    Those that fail afterwards are the ones somebody will ask about.
-    """
-    budget = LogSampler(ManualClock(), rate=1, burst=400)
+def test_failures_are_logged_after_many_successful_requests():
+    """Successful requests must not use up the tokens reserved for failures."""
+    sampler = LogSampler(ManualClock(), rate=1, burst=400)
     for i in range(5000):
-        budget.should_write(b"r%d" % i, plain=True)
-    assert all(budget.should_write(b"f%d" % i, plain=False) for i in range(50))
+        sampler.should_write(b"r%d" % i, plain=True)
+    assert all(sampler.should_write(b"f%d" % i, plain=False) for i in range(50))
 
 
-def test_under_load_nodes_keep_the_same_requests_with_their_calls():
-    """Two nodes sample under load; a story needs the lines of both."""
-    kept = []
+def test_nodes_sample_the_same_requests_and_their_calls():
+    """A trace needs the lines of every node that the request passed."""
+    sampled = []
     for name in (b"", b".1f", b".1f.2a"):
-        budget = LogSampler(ManualClock(), rate=1, burst=1000)
+        sampler = LogSampler(ManualClock(), rate=1, burst=1000)
         for _ in range(500):
-            budget.should_write(b"warm", plain=False)
+            sampler.should_write(b"warm", plain=False)
         ids = [b"r%d" % i for i in range(300)]
-        kept.append([i for i in ids if budget.should_write(i + name, plain=True)])
-    assert kept[0]
-    assert kept[0] == kept[1] == kept[2]
+        sampled.append([i for i in ids if sampler.should_write(i + name, plain=True)])
+    assert sampled[0]
+    assert sampled[0] == sampled[1] == sampled[2]
 
 
 @given(st.text() | st.binary().map(lambda b: b.decode("latin-1")))
-def test_no_text_stops_the_reader(text):
+def test_parser_accepts_or_skips_any_text(text):
     assert list(parse_lines([text])) == [] or parse_line(text) is not None
 
 
@@ -67,16 +61,15 @@
         st.none() | st.integers() | st.text() | st.lists(st.integers()),
     )
 )
-def test_a_record_with_odd_fields_is_read_or_passed_over(record):
+def test_record_with_unexpected_types_is_parsed_or_skipped(record):
     line = parse_line(json.dumps(record))
     assert line is None or isinstance(line.request_id, str)
 
 
-def test_the_story_has_the_calls_and_the_restart_of_the_node_that_was_lost():
-    """A call's node is killed while it runs there; it writes no last line.
+def test_trace_includes_calls_and_restart_of_a_killed_node():
+    """A node is killed while a call runs there, and writes no line about it.
 
-    The story shows the lost connection at the caller's node, and the start of
-    the killed one right after.
+    The trace must show the lost connection at the calling node, and the restart.
     """
     lines = [
         LogLine(12.0, "n2", "started", "", {"boot": "b2"}),
@@ -97,18 +90,18 @@
         LogLine(10.1, "n9", "request", "r2", {"route": "a"}),
         LogLine(10.1, "n9", "started", "", {}),
     ]
-    steps = trace_request("r", lines)
-    assert [step.instance for step in steps] == ["n1", "n1", "n2"]
-    assert steps[0].depth == 1
-    assert "try 1 at n2@b1: connection after 40 ms" in steps[0].text
-    assert steps[2].text.startswith("started")
+    events = trace_request("r", lines)
+    assert [event.instance for event in events] == ["n1", "n1", "n2"]
+    assert events[0].depth == 1
+    assert "try 1 at n2@b1: connection after 40 ms" in events[0].text
+    assert events[2].text.startswith("started")
 
 
-def test_an_unknown_request_has_no_story():
+def test_unknown_request_has_empty_trace():
     assert trace_request("x", [LogLine(1.0, "n1", "started")]) == []
 
 
-def test_reasons_are_counted_by_span_and_what_was_left_out_is_summed():
+def test_reasons_are_counted_by_interval_and_omitted_lines_are_summed():
     fields = {"route": "a", "outcome": "not-run", "reason": "shed-early"}
     lines = [LogLine(at, "n1", "request", "r", fields) for at in (1.0, 4.0, 6.0)]
     lines.append(LogLine(5.0, "n1", "counted", "", {"lines_left_out": {"plain": 7}}))
@@ -117,6 +110,6 @@
     assert left_out == {"plain": 7}
 
 
-def test_a_span_must_be_above_0():
+def test_span_of_zero_is_refused():
     with pytest.raises(ValueError, match="above 0"):
         count_reasons([], span=0)
