--- a/packages/rattanfork-core/rattanfork_core/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions of rattanfork, free of input and output.
+"""Decision logic of rattanfork, without I/O.
 
-Every subpackage takes events and a clock in and gives typed decisions out.
-Sockets, files and timers live in ``rattanfork_node``.
+Each subpackage takes events and a clock, and returns typed decisions.
+Sockets, files and timers are in ``rattanfork_node``.
 """
 
 __all__ = [
--- a/packages/rattanfork-core/rattanfork_core/burn/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/__init__.py
@@ -1,4 +1,4 @@
-"""How fast service-level objectives are spent."""
+"""Burn rates of the error budgets of service-level objectives."""
 
 from rattanfork_core.burn.meter import BurnMeter
 from rattanfork_core.burn.report import BurnLine, Totals, burn_report
--- a/packages/rattanfork-core/rattanfork_core/burn/meter.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/meter.py
@@ -1,4 +1,4 @@
-"""What one node has seen of the objectives."""
+"""Request counts and latencies of one node, for service-level objectives."""
 
 from ddsketch import DDSketch
 
@@ -6,18 +6,19 @@
 from rattanfork_core.objectives import WINDOWS, WindowedCount
 from rattanfork_core.request.importance import Importance
 
-_MOST_SERIES = 2000
+_MAX_SERIES = 2000
 
 
 class BurnMeter:
-    """Whole answers in time, and all others, by service and importance.
+    """Counts good and bad requests by service, importance and rule.
 
     Explanation
     ===========
 
-    Only requests of callers count, not calls between services: the objective
-    is on whole requests.  State is bounded: fixed windows for each pair, a
-    mergeable sketch of latencies, and a bound on the pairs.
+    Only requests of callers are counted, not calls between services, since the
+    objective applies to callers' requests.  Memory is bounded: fixed windows per
+    combination, a limit on their number, and a mergeable sketch of latencies per
+    service.
 
     Examples
     ========
@@ -42,11 +43,11 @@
         good: bool,
         latency: float,
     ) -> None:
-        """Count one request of a caller."""
+        """Count a caller's request; ``latency`` is in seconds."""
         key = (service, importance.label, rule)
         series = self._series.get(key)
         if series is None:
-            if len(self._series) >= _MOST_SERIES:
+            if len(self._series) >= _MAX_SERIES:
                 return
             series = tuple(WindowedCount(self._clock, w) for w in WINDOWS)
             self._series[key] = series
@@ -59,14 +60,14 @@
             sketch.add(latency)
 
     def totals(self) -> list[tuple[str, str, str, tuple[tuple[int, int], ...]]]:
-        """Return service, importance, rule, and good and bad for each window."""
+        """Return service, importance, rule, and good and bad requests per window."""
         return [
             (*key, tuple(window.totals() for window in series))
             for key, series in self._series.items()
         ]
 
     def latency_quantiles(self) -> dict[str, dict[str, float]]:
-        """Return the 50th and 99th percentile by service, in seconds."""
+        """Return the 50th and 99th latency percentiles by service, in seconds."""
         return {
             service: {
                 "p50": sketch.get_quantile_value(0.5),
--- a/packages/rattanfork-core/rattanfork_core/burn/tests/test_burn.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn of objectives over windows, by rule."""
+"""Burn rates of objectives over windows and by rule."""
 
 from rattanfork_core.burn import BurnMeter, burn_report
 from rattanfork_core.clock import ManualClock
@@ -6,7 +6,7 @@
 from rattanfork_core.rules import ObjectiveModel
 
 
-def test_old_failures_leave_the_short_window_first():
+def test_old_failures_leave_shortest_window_first():
     clock = ManualClock(1000.0)
     meter = BurnMeter(clock)
     for _ in range(50):
@@ -19,25 +19,25 @@
     assert round(line.burn[1], 6) == 5.0
 
 
-def test_totals_of_many_nodes_add_up():
-    seen = ("claims", "high", "r", ((9, 1), (9, 1), (9, 1)))
+def test_totals_of_several_nodes_are_summed():
+    totals = ("claims", "high", "r", ((9, 1), (9, 1), (9, 1)))
     objective = ObjectiveModel(service="claims", target=0.9)
-    [line] = burn_report([objective], [seen, seen])
+    [line] = burn_report([objective], [totals, totals])
     assert line.requests == 20
     assert line.spenders == (("r", 2),)
     assert round(line.budget_left, 6) == 0
 
 
-def test_an_objective_of_one_importance_leaves_the_others_out():
-    seen = [
+def test_objective_for_one_importance_ignores_the_others():
+    totals = [
         ("claims", "high", "a", ((1, 0),) * 3),
         ("claims", "low", "b", ((0, 9),) * 3),
     ]
     objective = ObjectiveModel(service="claims", importance="high", target=0.9)
-    [line] = burn_report([objective], seen)
+    [line] = burn_report([objective], totals)
     assert (line.requests, line.burn[2]) == (1, 0)
 
 
-def test_nothing_seen_burns_nothing():
+def test_objective_without_requests_has_full_budget():
     [line] = burn_report([ObjectiveModel(service="claims", target=0.9)], [])
     assert (line.requests, line.exhausted_in) == (0, None)
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Client accounts: the customers of the services, found by their keys."""
+"""Client accounts, identified on each request by an API key."""
 
 from rattanfork_core.client_accounts.account import ClientAccount
 from rattanfork_core.client_accounts.index import AccountIndex
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/account.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/account.py
@@ -1,11 +1,11 @@
-"""One client account."""
+"""A client account with its priority and quota."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A customer of the services, whose requests carry its keys.
+    """A customer of the services, authenticated by its API keys.
 
     Parameters
     ==========
@@ -13,12 +13,12 @@
     name : str
         Identifies the account in its configuration.
     priority : int or None
-        Rank among accounts, before that of the route; 0 is shed last.  None leaves
-        the rank to the route.
+        Priority of the account's requests, which overrides that of the route; 0 is
+        shed last.  With None the route's priority applies.
     rate : float
-        Requests a second over the whole fleet; 0 for no limit.
+        Quota in requests per second over all nodes; 0 for no limit.
     burst : float
-        Requests that may come at once besides.
+        Requests allowed in a burst in addition to the rate.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/index.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/index.py
@@ -1,4 +1,4 @@
-"""Finds the account that holds a key."""
+"""Lookup of client accounts by API key."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -10,19 +10,19 @@
 
 
 class AccountIndex:
-    """The accounts of one configuration, by their keys.
+    """The accounts of one configuration, indexed by key and by name.
 
     Explanation
     ===========
 
-    Keys are held as salted digests.  A look-up compares digests only, so its
-    duration does not depend on how much of a key is right.
+    Keys are stored as salted digests.  A lookup compares only digests, so its
+    duration does not reveal how much of a guessed key is correct.
 
     Parameters
     ==========
 
     accounts : mapping
-        Each account with its keys, free of findings.
+        The keys of each account; must have passed ``validate_accounts``.
 
     Examples
     ========
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, accounts: Mapping[ClientAccount, Iterable[str]]) -> None:
-        self._salted = sha256(os.urandom(_SALT_BYTES))
+        self._salted_hash = sha256(os.urandom(_SALT_BYTES))
         self._accounts = {account.name: account for account in accounts}
         self._key_counts = {a.name: len(set(keys)) for a, keys in accounts.items()}
         self._by_digest = {
@@ -52,25 +52,25 @@
 
     @property
     def key_count(self) -> int:
-        """How many keys there are."""
+        """Number of keys of all accounts."""
         return len(self._by_digest)
 
     def account_key_count(self, name: str) -> int:
-        """Return how many keys an account has; 0 for one that is not known."""
+        """Return the number of keys of an account; 0 if it is unknown."""
         return self._key_counts.get(name, 0)
 
     def find(self, key: bytes) -> ClientAccount | None:
-        """Return the account that holds a key, or None."""
+        """Return the account that a key belongs to, or None."""
         return self._by_digest.get(self._digest(key))
 
     def get(self, name: str) -> ClientAccount | None:
-        """Return the account of a name, or None."""
+        """Return the account with the given name, or None."""
         return self._accounts.get(name)
 
     def __repr__(self) -> str:
         return f"AccountIndex({len(self._accounts)} accounts, {self.key_count} keys)"
 
     def _digest(self, key: bytes) -> bytes:
-        digest = self._salted.copy()
+        digest = self._salted_hash.copy()
         digest.update(key)
         return digest.digest()
--- a/packages/rattanfork-core/rattanfork_core/clock/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Time as an interface, so that every decision can be replayed."""
+"""Clock interface, so that tests can run decisions with simulated time."""
 
 from rattanfork_core.clock.boottime import BootTimeClock
 from rattanfork_core.clock.clock import Clock
--- a/packages/rattanfork-core/rattanfork_core/clock/boottime.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/boottime.py
@@ -1,16 +1,16 @@
-"""A clock that goes on while the machine is suspended."""
+"""Clock that includes the time in which the machine is suspended."""
 
 import time
 
 from rattanfork_core.clock.clock import Clock
 
-#: Monotonic time stands still in a suspended machine where the system has two
-#: such clocks.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+#: On systems with a separate boot-time clock the monotonic clock stops during
+#: suspension; the others have one clock only.
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class BootTimeClock(Clock):
-    """Seconds since the machine started, those in which it was suspended too.
+    """Seconds since the machine started, including time in suspension.
 
     Examples
     ========
@@ -21,5 +21,5 @@
     """
 
     def now(self) -> float:
-        """Return the seconds."""
-        return time.clock_gettime(_CLOCK)
+        """Return seconds since the machine started."""
+        return time.clock_gettime(_CLOCK_ID)
--- a/packages/rattanfork-core/rattanfork_core/clock/clock.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/clock.py
@@ -1,4 +1,4 @@
-"""The interface through which decisions read time."""
+"""The clock interface."""
 
 from abc import ABC, abstractmethod
 
@@ -9,10 +9,10 @@
     Explanation
     ===========
 
-    Decisions never read the wall clock: callers' and instances' clocks may
-    differ by minutes, and a deadline kept as a wall-clock time would then be
-    wrong by as much.  All times inside a process are seconds of one
-    monotonic clock; between processes only durations travel.
+    Decisions never use the wall clock: clocks of callers and instances may differ
+    by minutes, and a deadline as a wall-clock time would be off by as much.
+    Times within a process are seconds of one monotonic clock; only durations are
+    sent to other processes.
     """
 
     @abstractmethod
--- a/packages/rattanfork-core/rattanfork_core/clock/manual.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/manual.py
@@ -1,10 +1,10 @@
-"""A clock that tests move by hand."""
+"""Clock that tests advance explicitly."""
 
 from rattanfork_core.clock.clock import Clock
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """A clock that changes only when it is advanced.
 
     Examples
     ========
@@ -23,14 +23,14 @@
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward.
+        """Advance the clock.
 
         Raises
         ======
 
         ValueError
-            If ``seconds`` is negative: monotonic time never goes back.
+            If ``seconds`` is negative, since monotonic time never decreases.
         """
         if seconds < 0:
-            raise ValueError("monotonic time does not go back")
+            raise ValueError("seconds must not be negative")
         self._now += seconds
--- a/packages/rattanfork-core/rattanfork_core/clock/monotonic.py
+++ b/packages/rattanfork-core/rattanfork_core/clock/monotonic.py
@@ -1,4 +1,4 @@
-"""The clock of a running process."""
+"""The operating system's monotonic clock."""
 
 import time
 
@@ -16,5 +16,5 @@
     True
     """
 
-    # Bound once: this is read several times per request.
+    # Bound directly to avoid a Python call; it is read several times per request.
     now = staticmethod(time.monotonic)  # type: ignore[assignment]
--- a/packages/rattanfork-core/rattanfork_core/hashing/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/hashing/__init__.py
@@ -1,4 +1,4 @@
-"""Hashes of text that are the same at every node."""
+"""Text hashes that are equal at every node and in every process."""
 
 from rattanfork_core.hashing.hash64 import hash64
 
--- a/packages/rattanfork-core/rattanfork_core/hashing/hash64.py
+++ b/packages/rattanfork-core/rattanfork_core/hashing/hash64.py
@@ -4,9 +4,9 @@
 
 
 def hash64(text: str) -> int:
-    """Return a 64-bit hash that every node computes alike.
+    """Return a 64-bit hash that is equal at every node.
 
-    Not for secrets: who chooses the text can choose the hash.
+    Not cryptographic: a text can be chosen to have a given hash.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/objectives/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/objectives/__init__.py
@@ -1,6 +1,6 @@
-"""Requests against their objectives, over sliding windows.
+"""Counts of requests that met or missed their objective, over sliding windows.
 
-Imported by every node, so it takes no library of its own.
+Imported by every node, so it must not import third-party libraries.
 """
 
 from rattanfork_core.objectives.routes import RouteObjectives, RouteTotals
--- a/packages/rattanfork-core/rattanfork_core/objectives/tests/test_routes.py
+++ b/packages/rattanfork-core/rattanfork_core/objectives/tests/test_routes.py
@@ -1,10 +1,10 @@
-"""Routes' objectives over windows."""
+"""Counts of routes' objectives over sliding windows."""
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.objectives import RouteObjectives
 
 
-def test_what_is_long_past_leaves_the_short_window_first():
+def test_old_request_leaves_shortest_window_first():
     clock = ManualClock(1000.0)
     objectives = RouteObjectives(clock)
     objectives.add("a", good=False)
@@ -15,7 +15,7 @@
     assert objectives.totals() == [("a", ((1, 0), (1, 1), (1, 1)))]
 
 
-def test_the_number_of_routes_kept_is_bounded():
+def test_number_of_routes_is_bounded():
     objectives = RouteObjectives(ManualClock(1.0))
     for number in range(5000):
         objectives.add(f"route-{number}", good=True)
--- a/packages/rattanfork-core/rattanfork_core/objectives/windowed_count.py
+++ b/packages/rattanfork-core/rattanfork_core/objectives/windowed_count.py
@@ -1,16 +1,15 @@
-"""Counts over sliding windows in bounded memory."""
+"""Counters over sliding windows, in bounded memory."""
 
 from collections import deque
 
 from rattanfork_core.clock import Clock
 
-#: Lengths of the windows of objectives in seconds: five minutes, one hour, six
-#: hours.
+#: Window lengths in seconds: five minutes, one hour, six hours.
 WINDOWS = (300.0, 3600.0, 21600.0)
 
 
 class WindowedCount:
-    """Good and bad answers over the last seconds.
+    """Numbers of good and bad requests in a sliding window.
 
     Parameters
     ==========
@@ -20,7 +19,7 @@
     seconds : float
         Length of the window.
     buckets : int
-        Parts the window is kept in.
+        Number of buckets that the window is divided into.
 
     Examples
     ========
@@ -37,13 +36,13 @@
     (0, 0)
     """
 
-    __slots__ = ("_clock", "_parts", "_seconds", "_width")
+    __slots__ = ("_clock", "_buckets", "_seconds", "_bucket_seconds")
 
     def __init__(self, clock: Clock, seconds: float, buckets: int = 30) -> None:
         self._clock = clock
         self._seconds = seconds
-        self._width = seconds / buckets
-        self._parts: deque[list] = deque()
+        self._bucket_seconds = seconds / buckets
+        self._buckets: deque[list] = deque()
 
     @property
     def seconds(self) -> float:
@@ -51,22 +50,22 @@
         return self._seconds
 
     def add(self, good: int, bad: int) -> None:
-        """Count answers."""
-        place = int(self._clock.now() / self._width)
-        if not self._parts or self._parts[-1][0] != place:
-            self._parts.append([place, 0, 0])
-            self._drop_old(place)
-        part = self._parts[-1]
-        part[1] += good
-        part[2] += bad
+        """Count requests."""
+        number = int(self._clock.now() / self._bucket_seconds)
+        if not self._buckets or self._buckets[-1][0] != number:
+            self._buckets.append([number, 0, 0])
+            self._drop_expired(number)
+        bucket = self._buckets[-1]
+        bucket[1] += good
+        bucket[2] += bad
 
     def totals(self) -> tuple[int, int]:
-        """Return the good and the bad answers of the window."""
-        self._drop_old(int(self._clock.now() / self._width))
-        good = sum(part[1] for part in self._parts)
-        return good, sum(part[2] for part in self._parts)
+        """Return the good and bad requests in the window."""
+        self._drop_expired(int(self._clock.now() / self._bucket_seconds))
+        good = sum(bucket[1] for bucket in self._buckets)
+        return good, sum(bucket[2] for bucket in self._buckets)
 
-    def _drop_old(self, place: int) -> None:
-        oldest = place - int(self._seconds / self._width)
-        while self._parts and self._parts[0][0] <= oldest:
-            self._parts.popleft()
+    def _drop_expired(self, number: int) -> None:
+        newest_expired = number - int(self._seconds / self._bucket_seconds)
+        while self._buckets and self._buckets[0][0] <= newest_expired:
+            self._buckets.popleft()
