--- a/packages/rattanfork-core/rattanfork_core/admission/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission at the guard: how many run, who waits, and who is shed."""
+"""Admission control in front of an upstream: concurrency limit, queue, shedding."""
 
 from rattanfork_core.admission.controller import AdmissionController
 from rattanfork_core.admission.decisions import Decision, Refuse, Start
--- a/packages/rattanfork-core/rattanfork_core/admission/controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/controller.py
@@ -1,4 +1,4 @@
-"""Admission in front of one upstream."""
+"""Admission controller: the last check before a request goes to its upstream."""
 
 from math import ceil
 
@@ -12,24 +12,27 @@
 from rattanfork_core.clock import Clock
 from rattanfork_core.request.outcome import Reason
 
-#: Runs that would have ended, at the true pace, in a time without any end, with
-#: a chance of 95 in 100: three, for ends that come independently.
-_ENDS_MISSED = 3.0
-#: Seconds without any end that say nothing of the upstream.  A busy process reads
-#: answers many at a time, tens of milliseconds apart, and 200 requests at once to
-#: an upstream that answers in 1 ms were refused for its own pauses.
-_OWN_PAUSE = 0.1
+#: If completions arrive independently and none is seen in an interval, fewer than
+#: this many were due in it, with 95% confidence (the "rule of three").
+_MAX_MISSED_COMPLETIONS = 3.0
+#: Seconds without a completion that are not held against the upstream.  A busy event
+#: loop reads responses in batches tens of milliseconds apart; without this allowance,
+#: 200 concurrent requests to an upstream that answers in 1 ms were refused.
+_MAX_LOOP_PAUSE_SECONDS = 0.1
 
 
 class AdmissionController:
-    """Decides which requests run, wait and are shed at one guard.
+    """Decides which requests one upstream runs, which wait, and which are shed.
 
     Explanation
     ===========
 
-    Important requests are shed last, exactly: the queue holds the waiters of
-    lowest rank, a newcomer displaces the one of highest rank, and a free
-    slot goes to the lowest rank.  A refused waiter is told at once.
+    Requests are shed strictly by rank, highest first: when the queue is full, an
+    arrival displaces the waiter of highest rank, and a free slot goes to the waiter
+    of lowest rank.  A refused request is answered immediately.
+
+    The controller does no I/O.  Its methods return the decisions that the caller
+    has to carry out.
 
     Parameters
     ==========
@@ -37,7 +40,7 @@
     clock : Clock
         Source of the current time.
     settings : AdmissionSettings
-        Bounds.
+        Slots, queue bounds and time limits.
 
     Examples
     ========
@@ -56,7 +59,7 @@
     (2, <Reason.SHED: 1>)
     """
 
-    #: Seconds between two calls of :meth:`tick`.
+    #: Interval at which :meth:`tick` has to be called.
     TICK_SECONDS = 0.1
 
     def __init__(self, clock: Clock, settings: AdmissionSettings) -> None:
@@ -69,26 +72,26 @@
             clock, settings.slots, settings.warmup, settings.adaptive
         )
         self._estimate = ServiceTimeEstimate()
-        self._cut = AdmissionThreshold(settings.surge_sample)
-        self._leaving = False
-        self._busy = 0.0
+        self._threshold = AdmissionThreshold(settings.surge_sample)
+        self._draining = False
+        self._busy_time = 0.0
         self._busy_since = clock.now()
-        #: When a run last ended, or the first began after idle.
-        self._progress = clock.now()
+        #: When the last run completed, or the first one started after an idle time.
+        self._last_progress = clock.now()
 
     @property
     def threshold(self) -> float:
-        """Requests of this rank or above are shed here."""
-        return self._cut.value
+        """Admission threshold: requests of this rank or above are shed."""
+        return self._threshold.value
 
     @property
     def running(self) -> int:
-        """Requests at the upstream."""
+        """Number of requests running at the upstream."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     @property
@@ -103,28 +106,28 @@
 
     @property
     def draining(self) -> bool:
-        """Whether no new work is taken."""
-        return self._leaving
+        """Whether all new requests are refused."""
+        return self._draining
 
     def reset_estimates(self) -> None:
-        """Forget what was learned of the upstream: another incarnation is there.
+        """Discard service times and threshold after the upstream was replaced.
 
-        A successor that is faster would be refused work by its predecessor's
-        times, and one that is still cold be sent more than it can end.
+        With its predecessor's service times, a faster upstream would be refused
+        work that it can do, and a cold one sent more than it can complete.
         """
         self._estimate = ServiceTimeEstimate()
-        self._cut = AdmissionThreshold(self._settings.surge_sample)
+        self._threshold = AdmissionThreshold(self._settings.surge_sample)
 
     def drain(self) -> list[Decision]:
-        """Take no new work; those waiting are refused, those running end."""
-        self._leaving = True
+        """Refuse waiting and new requests; running requests complete."""
+        self._draining = True
         waiting = list(self._queue)
-        return [self._refuse_waiting(w, Reason.LEAVING) for w in waiting]
+        return [self._refuse_waiter(w, Reason.LEAVING) for w in waiting]
 
     def offer(self, waiter: Waiter) -> list[Decision]:
-        """Take in an arrival."""
-        self._cut.on_arrival(waiter.rank, self._clock.now())
-        if self._leaving:
+        """Start, enqueue or refuse a request that has arrived."""
+        self._threshold.on_arrival(waiter.rank, self._clock.now())
+        if self._draining:
             return [Refuse(waiter, Reason.LEAVING)]
         if self._cannot_finish(waiter):
             return [Refuse(waiter, Reason.TOO_LATE)]
@@ -133,104 +136,109 @@
         return self._enqueue(waiter)
 
     def finish(self, key: int, succeeded: bool = True) -> list[Decision]:
-        """Take note that a run has ended, and start who is next."""
-        self._count_busy()
+        """Record that a run has ended, and start waiting requests."""
+        self._add_busy_time()
         waiter = self._running.pop(key, None)
-        self._progress = self._clock.now()
+        self._last_progress = self._clock.now()
         if waiter is not None and succeeded:
             now = self._clock.now()
             duration = now - waiter.started
             self._estimate.add(waiter.operation, duration)
-            binding = len(self._queue) > 0
-            self._limit.on_finish(waiter.operation, waiter.started, duration, binding)
+            limited = len(self._queue) > 0
+            self._limit.on_finish(waiter.operation, waiter.started, duration, limited)
         return self._start_next()
 
     def on_upstream_shed(self) -> None:
-        """Take note that the upstream itself refused for load."""
+        """Lower the limit, as the upstream itself refused a request for load."""
         self._limit.on_shed(len(self._running))
 
     def withdraw(self, waiter: Waiter) -> bool:
-        """Take a waiter out of the queue; return whether it was there."""
+        """Remove a waiter from the queue; return whether it was there."""
         self._latest_start.pop(waiter.key, None)
         return self._queue.remove(waiter)
 
     def tick(self) -> list[Decision]:
-        """Shed the doomed and adapt the cut; call every :attr:`TICK_SECONDS`."""
+        """Shed waiters that cannot finish in time, and adapt the threshold.
+
+        Has to be called every :attr:`TICK_SECONDS`.
+        """
         now = self._clock.now()
-        # Who would be doomed before the next look is told now.  Told after its
-        # time, the news would cross its sender's own timeout, which has to say
-        # that the request may have run; a posting could not be tried again.
-        doomed = self._queue.pop_unfinishable(
+        # Includes waiters whose latest start falls before the next tick.  A refusal
+        # sent after that could cross the sender's own timeout, which has to report
+        # that the request may have run, so a write could not be retried.
+        unfinishable = self._queue.pop_unfinishable(
             self._latest_start, now + self.TICK_SECONDS
         )
         decisions: list[Decision] = []
-        for waiter in doomed:
+        for waiter in unfinishable:
             self._latest_start.pop(waiter.key, None)
             decisions.append(Refuse(waiter, Reason.TOO_LATE))
         decisions += self._start_next()
         decisions += self._shed_overdue(now)
         limit = self._limit.current
         if self._estimate.mean:
-            self._cut.update(
-                capacity=self._pace() * self.TICK_SECONDS,
-                queue_share=len(self._queue) / self._queue_bound(),
-                utilisation=self._take_busy() / (limit * self.TICK_SECONDS),
+            self._threshold.update(
+                capacity=self._throughput() * self.TICK_SECONDS,
+                queue_fill=len(self._queue) / self._max_queue_length(),
+                utilisation=self._take_busy_time() / (limit * self.TICK_SECONDS),
             )
         return decisions
 
     def _shed_overdue(self, now: float) -> list[Decision]:
-        """Shed who has waited too long, and announce that no more such may come.
+        """Shed waiters that exceed the maximum wait, and lower the threshold.
 
-        While the queue is not full, whoever comes with a lower rank goes first.  One
-        of high rank would wait until it is doomed, with all that was done for it.
+        While the queue is not full, nothing is displaced, and a steady flow of lower
+        ranks starves a waiter of high rank until its deadline; the work done for it
+        at the services above would be wasted.
         """
-        longest = max(self._settings.max_wait, self._estimate.mean)
-        overdue = self._queue.pop_arrived_before(now - longest)
+        max_wait = max(self._settings.max_wait, self._estimate.mean)
+        overdue = self._queue.pop_arrived_before(now - max_wait)
         for waiter in overdue:
             self._latest_start.pop(waiter.key, None)
             self._on_displaced(waiter)
         return [Refuse(waiter, Reason.SHED) for waiter in overdue]
 
-    def _count_busy(self) -> None:
+    def _add_busy_time(self) -> None:
         now = self._clock.now()
-        self._busy += len(self._running) * (now - self._busy_since)
+        self._busy_time += len(self._running) * (now - self._busy_since)
         self._busy_since = now
 
-    def _take_busy(self) -> float:
-        self._count_busy()
-        busy, self._busy = self._busy, 0.0
+    def _take_busy_time(self) -> float:
+        self._add_busy_time()
+        busy, self._busy_time = self._busy_time, 0.0
         return busy
 
-    def _pace(self) -> float:
-        """Return how many runs end in a second, from a known service time.
+    def _throughput(self) -> float:
+        """Return the upstream's throughput in runs per second.
 
-        Service times are learned from runs that end.  An upstream that hangs
-        ends none, and by its old pace the queue took hundreds more, who waited
-        until their deadlines; so a time without any end bounds the pace.
+        Requires a known service time.  An upstream that hangs completes no run, so
+        its service times would never be updated, and at the old throughput the queue
+        would accept hundreds of requests that wait until their deadlines.  The time
+        since the last completion therefore bounds the throughput.
         """
-        pace = self._limit.current / self._estimate.mean
-        quiet = self._clock.now() - self._progress
-        if not self._running or quiet < _OWN_PAUSE:
-            return pace
-        if quiet * pace > _ENDS_MISSED:
-            return _ENDS_MISSED / quiet
-        return pace
-
-    def _queue_bound(self) -> int:
+        throughput = self._limit.current / self._estimate.mean
+        stalled = self._clock.now() - self._last_progress
+        if not self._running or stalled < _MAX_LOOP_PAUSE_SECONDS:
+            return throughput
+        if stalled * throughput > _MAX_MISSED_COMPLETIONS:
+            return _MAX_MISSED_COMPLETIONS / stalled
+        return throughput
+
+    def _max_queue_length(self) -> int:
         limit, settings = self._limit.current, self._settings
         bound = max(settings.min_queue_length, ceil(limit * settings.queue_ratio))
         if not self._estimate.mean:
             return bound
-        return max(bound, int(self._pace() * settings.queue_delay))
+        return max(bound, int(self._throughput() * settings.queue_delay))
 
     def _cannot_finish(self, waiter: Waiter, wait: float = 0.0) -> bool:
         now = self._clock.now()
         if waiter.deadline <= now:
             return True
         if not self._running:
-            # Were an overlong estimate to refuse everything, no run could
-            # ever correct it: the service would stay shut after it recovered.
-            # An idle upstream therefore always takes one.
+            # An idle upstream always gets a request.  If an overlong estimate
+            # refused everything, no run could correct it, and the service would
+            # stay closed after it has recovered.
             return False
         needed = wait + self._estimate.lower_bound(waiter.operation)
         return now + needed > waiter.deadline
@@ -238,7 +246,9 @@
     def _enqueue(self, waiter: Waiter) -> list[Decision]:
         mean = self._estimate.mean
         wait = (
-            (self._queue.count_ahead(waiter.rank) + 1) / self._pace() if mean else 0.0
+            (self._queue.count_ahead(waiter.rank) + 1) / self._throughput()
+            if mean
+            else 0.0
         )
         if self._cannot_finish(waiter, max(0.0, wait - mean)):
             self._on_displaced(waiter)
@@ -246,32 +256,32 @@
         shortest = self._estimate.lower_bound(waiter.operation)
         self._latest_start[waiter.key] = waiter.deadline - shortest
         self._queue.push(waiter)
-        bound = self._queue_bound()
+        bound = self._max_queue_length()
         if len(self._queue) <= bound:
             if 2 * len(self._queue) > bound and mean:
-                self._cut.on_pressure(self._clock.now(), self._pace())
+                self._threshold.on_pressure(self._clock.now(), self._throughput())
             return []
-        worst = self._queue.pop_highest_rank()
-        self._on_displaced(worst)
-        self._latest_start.pop(worst.key, None)
-        return [Refuse(worst, Reason.SHED)]
+        displaced = self._queue.pop_highest_rank()
+        self._on_displaced(displaced)
+        self._latest_start.pop(displaced.key, None)
+        return [Refuse(displaced, Reason.SHED)]
 
     def _on_displaced(self, waiter: Waiter) -> None:
         if not self._estimate.mean:
-            # A cold start: what the upstream can do is not known yet.
+            # Cold start: the upstream's throughput is not known yet.
             return
-        self._cut.on_displaced(waiter.rank, self._clock.now(), self._pace())
+        self._threshold.on_displaced(waiter.rank, self._clock.now(), self._throughput())
 
-    def _refuse_waiting(self, waiter: Waiter, reason: Reason) -> Refuse:
+    def _refuse_waiter(self, waiter: Waiter, reason: Reason) -> Refuse:
         self._queue.remove(waiter)
         self._latest_start.pop(waiter.key, None)
         return Refuse(waiter, reason)
 
     def _start(self, waiter: Waiter) -> Start:
-        self._count_busy()
+        self._add_busy_time()
         waiter.started = self._clock.now()
         if not self._running:
-            self._progress = waiter.started
+            self._last_progress = waiter.started
         self._running[waiter.key] = waiter
         return Start(waiter)
 
--- a/packages/rattanfork-core/rattanfork_core/admission/decisions.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/decisions.py
@@ -1,4 +1,4 @@
-"""What admission decides."""
+"""Decisions of the admission controller, for its caller to carry out."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Hand the request to the upstream now."""
+    """Send the request to the upstream now."""
 
     waiter: Waiter
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the request now: it is not run."""
+    """Refuse the request now; it was not run and will not be."""
 
     waiter: Waiter
     reason: Reason
--- a/packages/rattanfork-core/rattanfork_core/admission/demand.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/demand.py
@@ -1,23 +1,29 @@
-"""How demand is spread over the order of shedding."""
+"""Distribution of arrivals over ranks, from which the threshold is set."""
 
 from rattanfork_core.request.importance import RANK_LIMIT
 
-_PER_RANK = 32
-_BUCKETS = RANK_LIMIT * _PER_RANK
-#: Share of a remembered count that is left after one tick.
-_MEMORY = 0.99
+_BUCKETS_PER_RANK = 32
+_BUCKETS = RANK_LIMIT * _BUCKETS_PER_RANK
+#: Factor by which a count remembered from above the threshold decays each tick.
+_REMEMBERED_DECAY = 0.99
 
 
 class DemandHistogram:
-    """Decayed count of arrivals by rank.
+    """Exponentially decayed counts of arrivals by rank.
 
     Explanation
     ===========
 
-    What is refused at first nodes does not arrive here any more.  If it were
-    forgotten, the demand above a cut would look like none, and a cut that rises a
-    little would let all of it in at once.  So counts above the cut are remembered
-    as they were when they were last seen.
+    Requests at or above the announced threshold are refused by other nodes and no
+    longer arrive here.  If their counts decayed at the same rate, there would seem to
+    be no demand above the threshold, and a slight rise would admit all of it at once.
+    Counts above the threshold therefore decay slowly from when they were last seen.
+
+    Parameters
+    ==========
+
+    decay : float
+        Factor by which counts decay each tick; 1 for none.
 
     Examples
     ========
@@ -37,53 +43,55 @@
         self._remembered = [0.0] * _BUCKETS
 
     def add(self, rank: float) -> None:
-        """Count one arrival."""
-        self._counts[min(_BUCKETS - 1, int(rank * _PER_RANK))] += 1.0
+        """Count an arrival."""
+        self._counts[min(_BUCKETS - 1, int(rank * _BUCKETS_PER_RANK))] += 1.0
 
-    def age(self, cut: float = float(RANK_LIMIT)) -> None:
-        """Let older arrivals count for less; remember those above a cut."""
+    def age(self, threshold: float = float(RANK_LIMIT)) -> None:
+        """Decay all counts by one tick; slowly for those above the threshold."""
         decay = self._decay
         self._counts = counts = [count * decay for count in self._counts]
-        place = int(cut * _PER_RANK)
-        if place >= _BUCKETS:
-            # Open, as nearly always: all that there is arrives.
+        position = int(threshold * _BUCKETS_PER_RANK)
+        if position >= _BUCKETS:
+            # No threshold is in force, the usual case: all demand arrives here.
             self._remembered = counts
             return
-        above = zip(counts[place:], self._remembered[place:], strict=True)
-        self._remembered = counts[:place] + [
-            max(count, known * _MEMORY) for count, known in above
+        above = zip(counts[position:], self._remembered[position:], strict=True)
+        self._remembered = counts[:position] + [
+            max(count, remembered * _REMEMBERED_DECAY) for count, remembered in above
         ]
 
     @property
     def tick_fraction(self) -> float:
-        """Factor that turns a decayed count into arrivals of one tick."""
+        """Factor that converts a decayed count into arrivals per tick."""
         return 1.0 - self._decay if self._decay < 1 else 1.0
 
     def count_below(self, rank: float) -> float:
-        """Return the decayed count of arrivals of lower rank."""
-        place = rank * _PER_RANK
-        whole = min(_BUCKETS, int(place))
-        total = sum(self._counts[:whole])
-        if whole < _BUCKETS:
-            total += self._counts[whole] * (place - whole)
+        """Return the decayed count of arrivals below a rank."""
+        position = rank * _BUCKETS_PER_RANK
+        full_buckets = min(_BUCKETS, int(position))
+        total = sum(self._counts[:full_buckets])
+        if full_buckets < _BUCKETS:
+            total += self._counts[full_buckets] * (position - full_buckets)
         return total
 
-    def rank_above(self, cut: float, count: float) -> float:
-        """Return the rank below which ``count`` arrivals lie beside those of a cut."""
-        place = min(_BUCKETS - 1, int(cut * _PER_RANK))
-        left = count + self._remembered[place] * (cut * _PER_RANK - place)
-        for bucket in range(place, _BUCKETS):
-            seen = self._remembered[bucket]
-            if seen and left <= seen:
-                return (bucket + left / seen) / _PER_RANK
-            left -= seen
+    def rank_above(self, threshold: float, count: float) -> float:
+        """Return the threshold that admits ``count`` more arrivals than this one."""
+        position = min(_BUCKETS - 1, int(threshold * _BUCKETS_PER_RANK))
+        remaining = count + self._remembered[position] * (
+            threshold * _BUCKETS_PER_RANK - position
+        )
+        for bucket in range(position, _BUCKETS):
+            in_bucket = self._remembered[bucket]
+            if in_bucket and remaining <= in_bucket:
+                return (bucket + remaining / in_bucket) / _BUCKETS_PER_RANK
+            remaining -= in_bucket
         return float(RANK_LIMIT)
 
     def rank_at(self, count: float) -> float:
         """Return the rank below which ``count`` arrivals lie."""
-        left = count
-        for bucket, seen in enumerate(self._counts):
-            if seen and left <= seen:
-                return (bucket + max(0.0, left) / seen) / _PER_RANK
-            left -= seen
+        remaining = count
+        for bucket, in_bucket in enumerate(self._counts):
+            if in_bucket and remaining <= in_bucket:
+                return (bucket + max(0.0, remaining) / in_bucket) / _BUCKETS_PER_RANK
+            remaining -= in_bucket
         return float(RANK_LIMIT)
--- a/packages/rattanfork-core/rattanfork_core/admission/estimate.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/estimate.py
@@ -1,10 +1,11 @@
-"""How long operations run at the upstream."""
+"""Service times of operations at the upstream, as seen by admission."""
 
-_WEIGHT = 0.1
+#: Weight of a new sample in the moving averages.
+_SAMPLE_WEIGHT = 0.1
 
 
 class ServiceTimeEstimate:
-    """Running mean and deviation of service times, by operation.
+    """Exponential moving mean and deviation of service times, by operation.
 
     Examples
     ========
@@ -18,7 +19,7 @@
     (0.05, 0.05)
     """
 
-    #: Operations come from URLs, so their number must be bounded.
+    #: Bounds the memory: operation names are taken from URLs that clients choose.
     MAX_OPERATIONS = 256
 
     def __init__(self) -> None:
@@ -27,11 +28,11 @@
 
     @property
     def mean(self) -> float:
-        """Mean over all operations, in seconds; 0 while nothing is known."""
+        """Mean over all operations, in seconds; 0 before the first sample."""
         return self._mean
 
     def add(self, operation: str, duration: float) -> None:
-        """Take in one service time, in seconds."""
+        """Add the service time of one run, in seconds."""
         known = self._operations.get(operation)
         if known is None:
             if len(self._operations) >= self.MAX_OPERATIONS:
@@ -40,16 +41,16 @@
         else:
             mean, deviation = known
             error = duration - mean
-            mean += _WEIGHT * error
-            deviation += _WEIGHT * (abs(error) - deviation)
+            mean += _SAMPLE_WEIGHT * error
+            deviation += _SAMPLE_WEIGHT * (abs(error) - deviation)
             self._operations[operation] = (mean, deviation)
         if self._mean:
-            self._mean += _WEIGHT * (duration - self._mean)
+            self._mean += _SAMPLE_WEIGHT * (duration - self._mean)
         else:
             self._mean = duration
 
     def lower_bound(self, operation: str) -> float:
-        """Return the time below which the operation hardly ever ends."""
+        """Return a service time, in seconds, that the operation rarely undercuts."""
         known = self._operations.get(operation)
         if known is None:
             return 0.0
--- a/packages/rattanfork-core/rattanfork_core/admission/limit.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/limit.py
@@ -1,32 +1,36 @@
-"""How many requests may run at the upstream at once."""
+"""Adaptive concurrency limit: how many requests may run at the upstream at once."""
 
 from dataclasses import dataclass
 
 from rattanfork_core.clock import Clock
 
-#: Slow-down, as a multiple of the base, at which queueing is suspected.
-_SUSPECT = 2.5
+#: Service time, as a multiple of the baseline, above which a queue inside the
+#: upstream is suspected.
+_SUSPECT_SLOWDOWN = 2.5
 #: Factor by which the limit is lowered for a test.
 _TEST_FACTOR = 0.7
-#: A test confirms queueing if the slow-down falls to this share or less.
-_CONFIRM = 0.85
-#: Runs that make up one side of a test.
-_SAMPLES = 30
-_WEIGHT = 0.1
-#: Shortest base, in seconds.  Runs shorter than this vary by more than
-#: themselves with the turns of an event loop, and no caller feels it.
-_LEAST_BASE = 0.04
-#: The base follows the lower quartile by steps small enough that a test ends
-#: long before slow runs have become the base; it falls fast to much faster runs.
-_BASE_STEP = 0.0001
+#: A test confirms queueing if the slowdown falls to this fraction or less.
+_CONFIRM_RATIO = 0.85
+#: Runs that are measured before and after the limit is lowered in a test.
+_TEST_SAMPLES = 30
+#: Weight of a new sample in the moving average of the slowdown.
+_SAMPLE_WEIGHT = 0.1
+#: Shortest baseline.  Event loop scheduling alone makes shorter runs vary by more
+#: than their own length, which callers do not notice.
+_MIN_BASELINE_SECONDS = 0.04
+#: Relative step by which the baseline follows the lower quartile of the service
+#: times.  Small enough that a test ends long before slow runs become the baseline.
+_BASELINE_STEP = 0.0001
+#: Runs shorter than this fraction of the baseline pull it down quickly, by this weight.
 _FAR_BELOW = 0.5
-_BASE_CATCH_UP = 0.1
-_MOST_OPERATIONS = 256
+_FAR_BELOW_WEIGHT = 0.1
+#: Bounds the memory: operation names are taken from URLs that clients choose.
+_MAX_OPERATIONS = 256
 
 
 @dataclass(slots=True)
 class _LimitTest:
-    """A test under way: first the old limit is measured, then the lower."""
+    """A test in progress: runs are measured at the old limit, then at a lower one."""
 
     old_limit: float
     since: float
@@ -37,19 +41,20 @@
 
 
 class ConcurrencyLimit:
-    """A concurrency limit found from the service times the guard sees.
+    """A concurrency limit that adapts to the measured service times.
 
     Explanation
     ===========
 
-    The announced slots are an upper bound that may be wrong, and health and
-    load endpoints lag or lie, so neither is trusted alone.  Service times
-    well above their base mean either that the upstream queues inside (the
-    limit is too high) or that each run has become slower (a deep service is
-    slow).  Lowering the limit in the second case would only lose capacity.
-    So the limit is lowered for a test: with a queue inside, service time is
-    limit over throughput and falls with the limit; without one it stays.
-    Only in the first case does the lower limit remain.
+    The announced slots are an upper bound that may be wrong, and health and load
+    endpoints may lag or be wrong as well, so the limit follows service times.
+    Service times well above their baseline mean either that the upstream queues
+    internally (the limit is too high) or that each run has become slower (a service
+    that it calls is slow); in the second case a lower limit would only lose capacity.
+
+    So the limit is lowered for a test.  With an internal queue, service time is
+    limit divided by throughput and falls with the limit; otherwise it stays the same.
+    The lower limit is kept only in the first case.
 
     Parameters
     ==========
@@ -57,12 +62,12 @@
     clock : Clock
         Source of the current time.
     slots : int
-        Announced slots, the highest limit.
+        Slots that the upstream announces; the limit never exceeds them.
     warmup : float
-        Seconds over which a cold instance's limit rises to full.
+        Seconds over which the limit of a cold instance rises to its full value.
     adaptive : bool
-        Whether service times lower the limit; without it only the announced
-        slots count.
+        Whether service times change the limit; otherwise it equals the announced
+        slots.
 
     Examples
     ========
@@ -85,92 +90,98 @@
         self._slots = slots
         self._limit = float(slots)
         self._warmup = warmup
-        self._born = clock.now()
-        self._bases: dict[str, float] = {}
+        self._warmup_started = clock.now()
+        self._baselines: dict[str, float] = {}
         self._slowdown = 1.0
-        self._seen = 0
+        self._samples_since_test = 0
         self._test: _LimitTest | None = None
 
     @property
     def current(self) -> int:
-        """Requests that may run now; at least one."""
-        return max(1, int(self._limit * self._warm_share()))
+        """Requests that may run at once; at least one."""
+        return max(1, int(self._limit * self._warmup_fraction()))
 
     @property
     def slowdown(self) -> float:
-        """Recent service time as a multiple of its base."""
+        """Moving average of service time as a multiple of its baseline."""
         return self._slowdown
 
     def set_slots(self, slots: int) -> None:
-        """Take in the slots that the upstream announces."""
+        """Set the announced slots, and scale the limit with them."""
         if slots != self._slots:
             self._limit = min(max(1.0, self._limit * slots / self._slots), slots)
             self._slots = slots
 
     def restart_warmup(self) -> None:
-        """Warm up anew: the upstream was replaced."""
-        self._born = self._clock.now()
+        """Start the warm-up again, for an upstream that was replaced."""
+        self._warmup_started = self._clock.now()
 
     def on_finish(
-        self, operation: str, started: float, duration: float, binding: bool
+        self, operation: str, started: float, duration: float, limited: bool
     ) -> None:
-        """Take in one run.
+        """Update the limit with a completed run.
 
         Parameters
         ==========
 
         operation : str
-            What ran.
+            Name of the operation.
         started : float
             When it started, in seconds of the clock.
         duration : float
             How long it ran, in seconds.
-        binding : bool
-            Whether the limit held anyone back during the run.
+        limited : bool
+            Whether requests were waiting for a slot when the run completed.
         """
         if not self._adaptive:
             return
-        ratio = duration / max(_LEAST_BASE, self._base(operation, duration))
-        self._slowdown += _WEIGHT * (ratio - self._slowdown)
-        self._seen += 1
+        ratio = duration / max(
+            _MIN_BASELINE_SECONDS, self._update_baseline(operation, duration)
+        )
+        self._slowdown += _SAMPLE_WEIGHT * (ratio - self._slowdown)
+        self._samples_since_test += 1
         if self._test is not None:
-            self._run_test(started, ratio)
-        elif self._slowdown > _SUSPECT and self._seen > _SAMPLES and self._limit > 1:
+            self._add_test_sample(started, ratio)
+        elif (
+            self._slowdown > _SUSPECT_SLOWDOWN
+            and self._samples_since_test > _TEST_SAMPLES
+            and self._limit > 1
+        ):
             self._test = _LimitTest(self._limit, self._clock.now())
-        elif binding:
+        elif limited:
             self._limit = min(self._slots, self._limit + 1.0 / max(1.0, self._limit))
 
     def on_shed(self, running: int) -> None:
-        """Take note that the upstream itself refused for load."""
+        """Lower the limit, as the upstream itself refused a request for load."""
         if self._adaptive:
             self._limit = max(1.0, min(self._limit, running) * 0.9)
 
-    def _warm_share(self) -> float:
+    def _warmup_fraction(self) -> float:
         if self._warmup <= 0:
             return 1.0
-        age = self._clock.now() - self._born
+        age = self._clock.now() - self._warmup_started
         return min(1.0, 0.1 + 0.9 * age / self._warmup)
 
-    def _base(self, operation: str, duration: float) -> float:
+    def _update_baseline(self, operation: str, duration: float) -> float:
         duration = max(duration, 1e-6)
-        base = self._bases.get(operation)
-        if base is None:
-            if len(self._bases) >= _MOST_OPERATIONS:
-                self._bases.pop(next(iter(self._bases)))
-            base = duration
-        elif duration < _FAR_BELOW * base:
-            base += _BASE_CATCH_UP * (duration - base)
-        elif duration < base:
-            base *= 1.0 - 3 * _BASE_STEP
+        baseline = self._baselines.get(operation)
+        if baseline is None:
+            if len(self._baselines) >= _MAX_OPERATIONS:
+                self._baselines.pop(next(iter(self._baselines)))
+            baseline = duration
+        elif duration < _FAR_BELOW * baseline:
+            baseline += _FAR_BELOW_WEIGHT * (duration - baseline)
+        elif duration < baseline:
+            baseline *= 1.0 - 3 * _BASELINE_STEP
         else:
-            base *= 1.0 + _BASE_STEP
-        self._bases[operation] = base
-        return base
+            baseline *= 1.0 + _BASELINE_STEP
+        self._baselines[operation] = baseline
+        return baseline
 
-    def _run_test(self, started: float, ratio: float) -> None:
+    def _add_test_sample(self, started: float, ratio: float) -> None:
         test = self._test
-        # Runs that began under the old limit tell nothing about the new one:
-        # the first of them still wait behind the queue the old limit made.
+        # Runs that started under the old limit are no samples of the new one, nor
+        # are the first ones after it: they wait in the queue that the old one left.
         if started < test.since:
             return
         test.skip -= 1
@@ -178,29 +189,30 @@
             return
         test.total += ratio
         test.seen += 1
-        if test.seen < _SAMPLES:
+        if test.seen < _TEST_SAMPLES:
             return
         mean = test.total / test.seen
         if test.before is None:
-            self._lower(test, mean)
+            self._lower_limit(test, mean)
         else:
-            self._conclude(test, mean)
+            self._end_test(test, mean)
 
-    def _lower(self, test: _LimitTest, before: float) -> None:
+    def _lower_limit(self, test: _LimitTest, before: float) -> None:
         test.before = before
         self._limit = max(1.0, self._limit * _TEST_FACTOR)
         test.since = self._clock.now()
         test.skip = int(self._limit)
         test.total, test.seen = 0.0, 0
 
-    def _conclude(self, test: _LimitTest, after: float) -> None:
+    def _end_test(self, test: _LimitTest, after: float) -> None:
         self._test = None
-        self._seen = 0
+        self._samples_since_test = 0
         self._slowdown = after
-        if after > _CONFIRM * test.before:
-            # Each run is slower by itself: fewer at a time would not help.
+        if after > _CONFIRM_RATIO * test.before:
+            # Each run has become slower: a lower limit would not help.
             self._limit = min(self._slots, test.old_limit)
-            self._bases = {
-                op: max(base, _LEAST_BASE) * after for op, base in self._bases.items()
+            self._baselines = {
+                op: max(baseline, _MIN_BASELINE_SECONDS) * after
+                for op, baseline in self._baselines.items()
             }
             self._slowdown = 1.0
--- a/packages/rattanfork-core/rattanfork_core/admission/queue.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/queue.py
@@ -1,23 +1,23 @@
-"""The queue in front of the upstream."""
+"""Priority queue of requests that wait for a slot at the upstream."""
 
 from sortedcontainers import SortedKeyList
 
 from rattanfork_core.admission.waiter import Waiter
 
 
-def _order(waiter: Waiter) -> tuple[float, int]:
+def _sort_key(waiter: Waiter) -> tuple[float, int]:
     return (waiter.rank, waiter.key)
 
 
 class WaitQueue:
-    """Waiters in the order of their rank.
+    """Waiters ordered by rank.
 
     Explanation
     ===========
 
-    The order is importance first and then the request's fate, not arrival:
-    every guard that orders by fate favours the same requests, so the calls
-    of one screen wait or fail together at all services.
+    The order does not depend on arrival: a rank is made of the importance and, within
+    it, a hash of the request ID.  All nodes therefore favour the same requests, and
+    the calls that belong to one request succeed or fail together at all services.
 
     Examples
     ========
@@ -32,7 +32,7 @@
     """
 
     def __init__(self) -> None:
-        self._waiters: SortedKeyList = SortedKeyList(key=_order)
+        self._waiters: SortedKeyList = SortedKeyList(key=_sort_key)
 
     def __len__(self) -> int:
         return len(self._waiters)
@@ -42,19 +42,19 @@
         self._waiters.add(waiter)
 
     def count_ahead(self, rank: float) -> int:
-        """Return how many waiters would go before one of this rank."""
+        """Return the number of waiters that precede a rank."""
         return self._waiters.bisect_key_left((rank, 0))
 
     def pop_lowest_rank(self) -> Waiter:
-        """Take out the waiter that goes next."""
+        """Remove and return the waiter that starts next."""
         return self._waiters.pop(0)
 
     def pop_highest_rank(self) -> Waiter:
-        """Take out the waiter that is shed first."""
+        """Remove and return the waiter that is shed first."""
         return self._waiters.pop()
 
     def remove(self, waiter: Waiter) -> bool:
-        """Take out a waiter; return whether it was there."""
+        """Remove a waiter; return whether it was there."""
         try:
             self._waiters.remove(waiter)
         except ValueError:
@@ -64,14 +64,14 @@
     def pop_unfinishable(
         self, latest_start: dict[int, float], now: float
     ) -> list[Waiter]:
-        """Take out all that should have started before ``now``."""
-        doomed = [w for w in self._waiters if latest_start[w.key] < now]
-        for waiter in doomed:
+        """Remove and return the waiters whose latest start is before ``now``."""
+        unfinishable = [w for w in self._waiters if latest_start[w.key] < now]
+        for waiter in unfinishable:
             self._waiters.remove(waiter)
-        return doomed
+        return unfinishable
 
     def pop_arrived_before(self, arrived: float) -> list[Waiter]:
-        """Take out all that arrived before a time."""
+        """Remove and return the waiters that arrived before a time."""
         older = [w for w in self._waiters if w.arrived < arrived]
         for waiter in older:
             self._waiters.remove(waiter)
--- a/packages/rattanfork-core/rattanfork_core/admission/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission."""
+"""Settings of the admission controller."""
 
 from dataclasses import dataclass
 from math import inf
@@ -6,31 +6,32 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Settings of admission at one guard.
+    """Settings of the admission controller of one upstream.
 
     Parameters
     ==========
 
     slots : int
-        Announced slots of the upstream: the limit never exceeds them.
+        Slots that the upstream announces; the limit never exceeds them.
     queue_ratio : float
-        Length of the queue as a share of the concurrency limit.
+        Bound of the queue as a multiple of the concurrency limit.
     queue_delay : float
-        Length of the queue as the time it takes to serve it, if that is more.
+        Bound of the queue as the seconds it takes to serve it, if that is more.
     min_queue_length : int
-        Shortest length of the queue.
+        Smallest bound of the queue, in requests.
     retry_after : float
-        Shortest time a refused caller is told to stay away, in seconds.
+        Shortest ``Retry-After`` of a refusal, in seconds.
     warmup : float
-        Seconds over which a cold instance's limit rises to full.
+        Seconds over which the limit of a cold instance rises to its full value.
     surge_sample : int
-        Arrivals looked at for a surge.  They must span more time than those
-        that come in one batch, or each batch looks like a surge.
+        Number of recent arrivals that are checked for a surge.  It has to exceed
+        the arrivals read in one batch, or each batch looks like a surge.
     max_wait : float
-        Seconds after which a waiter is shed, or the mean service time if that is more.
+        Seconds after which a waiter is shed, or the mean service time if that is
+        longer.
     adaptive : bool
-        Whether the limit is lowered when service times suggest that the
-        upstream queues inside; without it, the announced slots are the limit.
+        Whether the limit is lowered when service times suggest that the upstream
+        queues internally; otherwise it equals the announced slots.
     """
 
     slots: int = 100
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Admission sheds the least important, says so at once, and recovers."""
+"""Tests of the admission controller: shedding order, queue bounds and recovery."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
 
 
 class Upstream:
-    """Drives a controller and keeps the order of what happened."""
+    """Drives an admission controller and logs its decisions in order."""
 
     def __init__(self, settings: AdmissionSettings = SMALL) -> None:
         self.clock = ManualClock()
@@ -29,7 +29,7 @@
         self.log: list[tuple[str, Waiter]] = []
         self.keys = 0
 
-    def take(self, decisions) -> None:
+    def apply(self, decisions) -> None:
         for decision in decisions:
             waiter = decision.waiter
             self.waiting.pop(waiter.key, None)
@@ -39,17 +39,17 @@
             elif isinstance(decision, Refuse):
                 self.log.append((decision.reason.name, waiter))
 
-    def arrive(self, rank: float, patience: float = 60.0) -> Waiter:
+    def arrive(self, rank: float, timeout: float = 60.0) -> Waiter:
         now = self.clock.now()
         self.keys += 1
-        waiter = Waiter(self.keys, rank, "op", now + patience, now)
+        waiter = Waiter(self.keys, rank, "op", now + timeout, now)
         self.waiting[waiter.key] = waiter
-        self.take(self.admission.offer(waiter))
+        self.apply(self.admission.offer(waiter))
         return waiter
 
     def finish(self) -> None:
         if self.running:
-            self.take(self.admission.finish(self.running.pop(0).key))
+            self.apply(self.admission.finish(self.running.pop(0).key))
 
 
 STEPS = st.lists(
@@ -62,15 +62,15 @@
 
 
 @given(STEPS)
-def test_no_less_important_newcomer_overtakes_one_refused_for_load(steps):
-    # A treasurer's posting is refused for load while a later receipt lookup
-    # is let in: the promise that important requests are shed last is broken.
+def test_no_later_request_of_higher_rank_starts_before_one_refused_for_load(steps):
+    # Guards against shedding out of order: a request is refused for load while one
+    # that arrived later and has a higher rank was admitted.
     upstream = Upstream()
     for step in steps:
         if step == "finish":
             upstream.finish()
         elif step == "tick":
-            upstream.take(upstream.admission.tick())
+            upstream.apply(upstream.admission.tick())
         elif step == "pause":
             upstream.clock.advance(0.05)
         else:
@@ -86,7 +86,7 @@
 
 
 @given(STEPS)
-def test_bounds_hold_and_every_waiter_is_decided_once(steps):
+def test_limits_hold_and_every_request_is_decided_once(steps):
     upstream = Upstream()
     arrived = 0
     for step in steps:
@@ -102,7 +102,7 @@
     assert len(decided) + len(upstream.waiting) == arrived
 
 
-def test_the_most_important_waiter_starts_next():
+def test_waiter_of_lowest_rank_starts_next():
     upstream = Upstream()
     for rank in (2.1, 2.2, 4.5, 0.5, 3.5):
         upstream.arrive(rank)
@@ -110,7 +110,7 @@
     assert upstream.log[-1][1].rank == 0.5
 
 
-def test_a_newcomer_displaces_the_least_important_at_once():
+def test_arrival_at_full_queue_displaces_waiter_of_highest_rank():
     upstream = Upstream()
     for rank in (2.1, 2.2, 4.5, 2.6, 3.5):
         upstream.arrive(rank)
@@ -119,48 +119,48 @@
     assert upstream.log[-1][1].rank == 4.5
 
 
-def test_what_cannot_finish_in_time_is_refused_before_it_queues():
+def test_request_that_cannot_meet_its_deadline_is_refused_on_arrival():
     upstream = Upstream()
     upstream.arrive(2.0)
     upstream.clock.advance(1.0)
     upstream.finish()
     upstream.arrive(2.0)
-    late = upstream.arrive(2.0, patience=0.2)
+    late = upstream.arrive(2.0, timeout=0.2)
     assert upstream.log[-1] == ("TOO_LATE", late)
 
 
-def test_the_doomed_leave_the_queue_with_an_answer():
+def test_waiter_that_cannot_meet_its_deadline_is_refused_at_tick():
     upstream = Upstream()
     for rank in (1.0, 1.1, 1.2):
-        upstream.arrive(rank, patience=0.3)
+        upstream.arrive(rank, timeout=0.3)
     upstream.clock.advance(0.5)
-    upstream.take(upstream.admission.tick())
+    upstream.apply(upstream.admission.tick())
     assert [what for what, _ in upstream.log] == ["start", "start", "TOO_LATE"]
 
 
-def test_a_service_that_recovers_from_slowness_is_not_kept_shut():
-    # A run of 10 s made the estimate longer than any caller waits.  Were all
-    # refused by the estimate, no run could correct it.
+def test_idle_upstream_gets_a_request_despite_long_estimate():
+    # A run of 10 s makes the estimate longer than any timeout.  If the estimate
+    # refused every request, no run could correct it.
     upstream = Upstream()
     upstream.arrive(2.0)
     upstream.clock.advance(10.0)
     upstream.finish()
-    upstream.arrive(2.0, patience=1.0)
+    upstream.arrive(2.0, timeout=1.0)
     assert upstream.log[-1][0] == "start"
 
 
-def test_leaving_refuses_the_waiting_and_lets_the_running_end():
+def test_draining_refuses_waiting_requests_and_keeps_running_ones():
     upstream = Upstream()
     for rank in (2.0, 2.1, 2.2):
         upstream.arrive(rank)
-    upstream.take(upstream.admission.drain())
+    upstream.apply(upstream.admission.drain())
     upstream.arrive(0.1)
     assert [what for what, _ in upstream.log[2:]] == ["LEAVING", "LEAVING"]
     assert upstream.admission.running == 2
 
 
-def test_the_cut_falls_in_a_surge_and_opens_after_it():
-    # Demand is ten times what the upstream does; afterwards it is a tenth.
+def test_threshold_falls_in_surge_and_rises_after_it():
+    # Ten requests arrive for each that completes; afterwards none arrive.
     upstream = Upstream()
     for i in range(300):
         upstream.arrive(3.0 + (i * 37 % 100) / 100)
@@ -168,23 +168,22 @@
         if i % 10 == 0:
             upstream.finish()
         if i % 20 == 0:
-            upstream.take(upstream.admission.tick())
+            upstream.apply(upstream.admission.tick())
     assert upstream.admission.threshold < 3.5
     while upstream.running:
         upstream.finish()
     for _ in range(12):
         upstream.clock.advance(0.1)
-        upstream.take(upstream.admission.tick())
+        upstream.apply(upstream.admission.tick())
     assert upstream.admission.threshold == 5.0
 
 
-def test_an_upstream_that_hangs_does_not_fill_its_queue():
-    """An upstream answers in a millisecond, then hangs without closing anything.
+def test_queue_of_hanging_upstream_stays_short():
+    """Guards against hundreds of requests that wait at an upstream which hangs.
 
-    By its old pace the queue could be served in a fifth of a second, so it
-    would take hundreds, who all wait until their deadlines.  Without any
-    answer the pace is not believed: what comes late is refused at once and
-    finds another instance.
+    It answers in 1 ms, then hangs with its connections open.  At its old throughput,
+    the queue bound of 0.2 s would admit hundreds, which all wait until their
+    deadlines instead of being refused and retried at another instance.
     """
     settings = AdmissionSettings(
         slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
@@ -199,7 +198,7 @@
         upstream.clock.advance(0.002)
     assert upstream.admission.waiting <= 60
     upstream.clock.advance(1.0)
-    upstream.take(upstream.admission.tick())
+    upstream.apply(upstream.admission.tick())
     waiting, told = upstream.admission.waiting, len(upstream.log)
     for _ in range(20):
         upstream.arrive(2.5)
@@ -208,11 +207,11 @@
     assert len(upstream.log) - told >= 20
 
 
-def test_a_busy_process_does_not_take_its_own_pause_for_a_hang():
-    """Answers of a fast upstream lie unread while this process is busy.
+def test_pause_of_event_loop_is_not_taken_for_hanging_upstream():
+    """Guards against refusals while a busy event loop delays reading responses.
 
-    They are read many at a time, tens of milliseconds apart; what arrives in
-    between waits, as it did before, and is not refused.
+    Responses are then read in batches, tens of milliseconds apart; requests that
+    arrive in between have to wait.
     """
     settings = AdmissionSettings(
         slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
@@ -230,8 +229,8 @@
     assert {reason for reason, _ in upstream.log} == {"start"}
 
 
-def test_a_slow_request_alone_does_not_look_like_a_hang():
-    """Most requests are quick, one runs for seconds beside them."""
+def test_one_slow_run_is_not_taken_for_hanging_upstream():
+    """Guards against refusals while one run takes seconds and the others are fast."""
     settings = AdmissionSettings(
         slots=4, min_queue_length=4, queue_ratio=1.0, queue_delay=0.2, warmup=0.0
     )
@@ -246,10 +245,11 @@
     upstream.running.append(slow)
 
 
-def test_a_successor_is_not_judged_by_the_times_of_the_one_before():
-    """An upstream that took a second for each run is replaced by a faster one.
+def test_estimates_are_reset_when_upstream_is_replaced():
+    """Guards against refusals by the service times of a replaced upstream.
 
-    By the old times, a request with half a second left could not end there.
+    Its runs took 1 s, so a request with 0.5 s left was refused; its replacement may
+    be faster.
     """
     clock = ManualClock()
     admission = AdmissionController(clock, AdmissionSettings(slots=2, warmup=0))
@@ -258,8 +258,8 @@
         clock.advance(1.0)
         admission.finish(key)
     admission.offer(Waiter(98, 2.5, "get", clock.now() + 9, clock.now()))
-    hasty = Waiter(99, 2.5, "get", clock.now() + 0.5, clock.now())
-    assert [type(d) for d in admission.offer(hasty)] == [Refuse]
+    urgent = Waiter(99, 2.5, "get", clock.now() + 0.5, clock.now())
+    assert [type(d) for d in admission.offer(urgent)] == [Refuse]
     admission.reset_estimates()
-    hasty = Waiter(100, 2.5, "get", clock.now() + 0.5, clock.now())
-    assert [type(d) for d in admission.offer(hasty)] == [Start]
+    urgent = Waiter(100, 2.5, "get", clock.now() + 0.5, clock.now())
+    assert [type(d) for d in admission.offer(urgent)] == [Start]
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
@@ -1,10 +1,10 @@
-"""A deep service that runs call in a row, with less room than is asked for.
+"""Simulation of an overloaded service that each run calls several times in sequence.
 
-The pattern: one of three instances of the deepest service is left.  Each run of
-the service above makes four calls there, one after another, and has a second for
-all.  Where the queue in front of the deep service stands long, each call waits in
-it, runs end unfinished, and what they used is lost.  Figures: 33 slots of 57 ms on
-average, 145 finished runs a second at most, twice as many offered.
+Each run makes four sequential calls and has one second for all of them.  If the queue
+in front of the service stays long, every call waits in it, runs exceed their deadlines,
+and the capacity that they used is wasted.  The service has 33 slots and a mean service
+time of 57 ms, so it completes at most 145 runs per second; one of its three instances
+is left, and twice as many runs are offered.
 """
 
 from dataclasses import dataclass
@@ -19,13 +19,13 @@
 )
 from rattanfork_core.clock import ManualClock
 
-_CALLS = 4
-_RUN_TIME = 1.0
-_CALL_TIME = 0.7
+_CALLS_PER_RUN = 4
+_RUN_TIMEOUT = 1.0
+_CALL_TIMEOUT = 0.7
 _SLOTS = 33
-_MEAN = 0.057
-#: Seconds until a threshold is known at the first node.
-_DELAY = 0.05
+_MEAN_SERVICE_TIME = 0.057
+#: Seconds until a new threshold is known at the node that takes the runs.
+_THRESHOLD_DELAY = 0.05
 _STEP = 0.005
 
 
@@ -37,12 +37,12 @@
 
 
 class DeepService:
-    """One guard, the runs that call through it, and what became of them."""
+    """An admission controller, the runs that call through it, and their results."""
 
-    def __init__(self, offered: float, seed: int = 1) -> None:
+    def __init__(self, offered_rate: float, seed: int = 1) -> None:
         self.clock = ManualClock()
         self.random = Random(seed)
-        self.offered = offered
+        self.offered_rate = offered_rate
         self.admission = AdmissionController(
             self.clock,
             AdmissionSettings(
@@ -56,24 +56,24 @@
         )
         self.runs: dict[int, Run] = {}
         self.waiting: dict[int, Waiter] = {}
-        self.ends: list[tuple[float, int]] = []
-        self.cuts: list[tuple[float, float]] = [(0.0, 5.0)]
+        self.completions: list[tuple[float, int]] = []
+        self.thresholds: list[tuple[float, float]] = [(0.0, 5.0)]
         self.keys = 0
-        self.finished: list[tuple[float, float]] = []
+        self.completed: list[tuple[float, float]] = []
         self.failures: list[float] = []
         self.refused = 0
 
-    def play(self, seconds: float) -> None:
-        next_tick = due = 0.0
+    def simulate(self, seconds: float) -> None:
+        next_tick = due_runs = 0.0
         while self.clock.now() < seconds:
             self.clock.advance(_STEP)
             now = self.clock.now()
-            due += self.offered * _STEP
-            while due >= 1:
-                due -= 1
+            due_runs += self.offered_rate * _STEP
+            while due_runs >= 1:
+                due_runs -= 1
                 self.begin(2 + self.random.random())
-            while self.ends and self.ends[0][0] <= now:
-                self.end(heappop(self.ends)[1])
+            while self.completions and self.completions[0][0] <= now:
+                self.end(heappop(self.completions)[1])
             for key, waiter in list(self.waiting.items()):
                 if waiter.deadline <= now:
                     del self.waiting[key]
@@ -81,48 +81,52 @@
                     self.fail(key)
             if now >= next_tick:
                 next_tick = now + AdmissionController.TICK_SECONDS
-                self.take(self.admission.tick())
-                self.cuts.append((now, self.admission.threshold))
+                self.apply(self.admission.tick())
+                self.thresholds.append((now, self.admission.threshold))
 
-    def known_cut(self) -> float:
-        old = [c for at, c in self.cuts[-5:] if at <= self.clock.now() - _DELAY]
-        return old[-1] if old else 5.0
+    def known_threshold(self) -> float:
+        known = [
+            c
+            for at, c in self.thresholds[-5:]
+            if at <= self.clock.now() - _THRESHOLD_DELAY
+        ]
+        return known[-1] if known else 5.0
 
     def begin(self, rank: float) -> None:
-        if rank >= self.known_cut():
+        if rank >= self.known_threshold():
             self.refused += 1
         else:
-            self.call(Run(rank, self.clock.now() + _RUN_TIME))
+            self.call(Run(rank, self.clock.now() + _RUN_TIMEOUT))
 
     def call(self, run: Run) -> None:
         self.keys += 1
         now = self.clock.now()
-        deadline = min(run.end, now + _CALL_TIME)
+        deadline = min(run.end, now + _CALL_TIMEOUT)
         waiter = Waiter(self.keys, run.rank, "read", deadline, now)
         self.runs[waiter.key] = run
         self.waiting[waiter.key] = waiter
-        self.take(self.admission.offer(waiter))
+        self.apply(self.admission.offer(waiter))
 
-    def take(self, decisions) -> None:
+    def apply(self, decisions) -> None:
         for decision in decisions:
             key = decision.waiter.key
             self.waiting.pop(key, None)
             if isinstance(decision, Start):
-                time = _MEAN * self.random.uniform(0.4, 1.6)
-                heappush(self.ends, (self.clock.now() + time, key))
+                service_time = _MEAN_SERVICE_TIME * self.random.uniform(0.4, 1.6)
+                heappush(self.completions, (self.clock.now() + service_time, key))
             else:
                 self.fail(key)
 
     def end(self, key: int) -> None:
-        self.take(self.admission.finish(key))
+        self.apply(self.admission.finish(key))
         run = self.runs.pop(key)
         run.calls += 1
         if self.clock.now() > run.end:
             self.failures.append(self.clock.now())
-        elif run.calls < _CALLS:
+        elif run.calls < _CALLS_PER_RUN:
             self.call(run)
         else:
-            self.finished.append((self.clock.now(), run.rank))
+            self.completed.append((self.clock.now(), run.rank))
 
     def fail(self, key: int) -> None:
         self.runs.pop(key)
@@ -130,31 +134,31 @@
 
 
 def goodput(service: DeepService, since: float) -> float:
-    """Return the finished runs as a share of the most that are possible."""
+    """Return completed runs per second as a fraction of the maximum."""
     now = service.clock.now()
-    count = sum(at > since for at, _ in service.finished)
-    return count / (now - since) / (_SLOTS / _MEAN / _CALLS)
+    count = sum(at > since for at, _ in service.completed)
+    return count / (now - since) / (_SLOTS / _MEAN_SERVICE_TIME / _CALLS_PER_RUN)
 
 
-def test_runs_that_call_in_a_row_end_in_time_behind_a_full_service():
-    """Twice as many runs are offered as the deep service can bear.
+def test_goodput_stays_high_at_twice_the_capacity():
+    """Guards against capacity spent on runs that then exceed their deadlines.
 
-    Some of what is begun fails on its way, but the service finishes nearly as
-    many runs as it could.
+    Some runs fail after their first calls, but the service completes nearly as many
+    runs as without overload.
     """
-    service = DeepService(offered=290)
-    service.play(12.0)
+    service = DeepService(offered_rate=290)
+    service.simulate(12.0)
     assert goodput(service, since=4.0) > 0.85
 
 
-def test_without_overload_nothing_is_refused():
-    service = DeepService(offered=110)
-    service.play(8.0)
+def test_no_run_is_refused_below_capacity():
+    service = DeepService(offered_rate=110)
+    service.simulate(8.0)
     assert not service.failures
     assert not service.refused
 
 
-def test_the_service_is_used_whole_at_its_limit():
-    service = DeepService(offered=150)
-    service.play(12.0)
+def test_goodput_is_high_at_capacity():
+    service = DeepService(offered_rate=150)
+    service.simulate(12.0)
     assert goodput(service, since=4.0) > 0.9
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_starved_waiters.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_starved_waiters.py
@@ -1,7 +1,7 @@
-"""The pattern: urgent work keeps coming, and what is less urgent waits in vain.
+"""Tests of the maximum wait, with waiters that are starved by lower ranks.
 
-An upstream takes all that is urgent and a little more.  Its queue is never full, so
-nothing is displaced, and who is next in order never gets a slot.
+Arrivals of low rank use nearly all slots of an upstream.  Its queue never fills, so
+nothing is displaced, and waiters of higher rank rarely get a slot.
 """
 
 from math import inf
@@ -21,9 +21,9 @@
 
 
 class Upstream:
-    """An upstream with few slots, and arrivals at fixed rates."""
+    """An upstream with four slots, and arrivals at fixed rates."""
 
-    def __init__(self, longest_wait: float) -> None:
+    def __init__(self, max_wait: float) -> None:
         self.clock = ManualClock(100.0)
         self.admission = AdmissionController(
             self.clock,
@@ -32,18 +32,18 @@
                 queue_ratio=4.0,
                 warmup=0.0,
                 adaptive=False,
-                max_wait=longest_wait,
+                max_wait=max_wait,
             ),
         )
         self.refused: list[tuple[Reason, float, float]] = []
         self.served: list[float] = []
         self._running: list[tuple[float, Waiter]] = []
         self._key = 0
-        self._owed: dict[float, float] = {}
+        self._due: dict[float, float] = {}
 
     def run(self, seconds: float, rates: dict[float, float]) -> None:
-        """Let requests of some ranks arrive, so many a second of each."""
-        owed = self._owed
+        """Simulate arrivals; ``rates`` maps ranks to requests per second."""
+        due = self._due
         for step in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             now = self.clock.now()
@@ -53,10 +53,10 @@
                     self.served.append(waiter.rank)
                     self._apply(self.admission.finish(waiter.key))
             for rank, rate in rates.items():
-                owed.setdefault(rank, 0.0)
-                owed[rank] += rate * STEP
-                while owed[rank] >= 1:
-                    owed[rank] -= 1
+                due.setdefault(rank, 0.0)
+                due[rank] += rate * STEP
+                while due[rank] >= 1:
+                    due[rank] -= 1
                     self._key += 1
                     waiter = Waiter(self._key, rank, "read", now + 1.0, now)
                     self._apply(self.admission.offer(waiter))
@@ -74,41 +74,42 @@
                 self.refused.append((decision.reason, waiter.rank, waited))
 
 
-#: Slots serve 80 a second; 78 of these are urgent, so 2 are left for 6 others.
+#: Requests per second by rank.  The slots serve 80: 78 of rank 1.1, which leaves 2 for
+#: the 6 of rank 1.5.
 RATES = {1.1: 78.0, 1.5: 6.0}
 
 
-def test_starved_waiter_is_told_while_it_has_time_left():
-    """Guards against calls that wait until the run above them has no time left."""
-    upstream = Upstream(longest_wait=0.2)
+def test_starved_waiter_is_shed_before_its_deadline():
+    """Guards against calls that wait until their run has no time left for a retry."""
+    upstream = Upstream(max_wait=0.2)
     upstream.run(10.0, RATES)
     waits = [waited for _, rank, waited in upstream.refused if rank == 1.5]
     assert waits
     assert max(waits) <= 0.35
 
 
-def test_starved_waiter_lowers_the_threshold_that_is_announced():
-    """Guards against first nodes that go on sending what never gets a slot."""
+def test_starved_waiter_lowers_announced_threshold():
+    """Guards against nodes that keep sending requests which never get a slot."""
     lowest = {}
-    for longest_wait in (0.2, inf):
-        upstream = Upstream(longest_wait)
-        lowest[longest_wait] = upstream.admission.threshold
+    for max_wait in (0.2, inf):
+        upstream = Upstream(max_wait)
+        lowest[max_wait] = upstream.admission.threshold
         for _ in range(100):
             upstream.run(0.1, RATES)
-            cut = upstream.admission.threshold
-            lowest[longest_wait] = min(lowest[longest_wait], cut)
+            threshold = upstream.admission.threshold
+            lowest[max_wait] = min(lowest[max_wait], threshold)
     assert lowest[0.2] < 1.6
     assert lowest[inf] == 5.0
 
 
-def test_urgent_work_loses_nothing_by_it():
-    upstream = Upstream(longest_wait=0.2)
+def test_max_wait_sheds_no_requests_of_low_rank():
+    upstream = Upstream(max_wait=0.2)
     upstream.run(10.0, RATES)
     assert not [rank for _, rank, _ in upstream.refused if rank == 1.1]
 
 
-def test_slow_upstream_is_given_the_time_of_a_run():
-    """Guards against shedding what would be served by the next slot."""
-    upstream = Upstream(longest_wait=0.01)
+def test_max_wait_is_at_least_mean_service_time():
+    """Guards against shedding waiters that the next free slot would serve."""
+    upstream = Upstream(max_wait=0.01)
     upstream.run(5.0, {1.1: 76.0})
     assert len(upstream.refused) <= 0.02 * len(upstream.served)
--- a/packages/rattanfork-core/rattanfork_core/admission/threshold.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/threshold.py
@@ -1,162 +1,169 @@
-"""The threshold of shedding that a guard announces."""
+"""The admission threshold that an upstream's node announces to its callers."""
 
 from collections import deque
 
 from rattanfork_core.admission.demand import DemandHistogram
 from rattanfork_core.request.importance import RANK_LIMIT
 
-#: First and longest step up while the upstream has idle slots, in ranks.
-_FIRST_RISE = 1.0 / 32
-_LONGEST_RISE = 1.0
-#: Share of the capacity by which a full or an empty queue moves the cut.
-_TRIM = 0.03
-#: Idle share of the slots' time from which the cut rises, by which part of
-#: it, and from which the steps double.
+#: Ranks by which the threshold rises in the first tick with mostly idle slots; the
+#: step doubles each tick up to the maximum.
+_MIN_RISE = 1.0 / 32
+_MAX_RISE = 1.0
+#: Fraction of the capacity by which a long or short queue moves the threshold in a
+#: tick.
+_QUEUE_TRIM = 0.03
+#: Idle fraction of the slots' time above which the threshold rises.
 _SOME_IDLE = 0.03
+#: Fraction of the idle capacity that such a rise lets in.
 _IDLE_GAIN = 0.5
+#: Idle fraction above which the threshold rises by steps that double.
 _MOSTLY_IDLE = 0.5
-_LEAST_TRIM = 1.0 / 256
-_MOST_TRIM = 0.25
+#: Bounds of one small adjustment, in ranks.
+_MIN_TRIM = 1.0 / 256
+_MAX_TRIM = 0.25
+#: Fill of the queue below and above which it counts as short and long.
 _QUEUE_LOW = 0.25
 _QUEUE_HIGH = 0.75
-#: Arrivals looked at for a surge, and how much faster than served they come.
-_RECENT = 12
-_SURGE = 3.0
-#: The cut stays above this, so that there are always replies to learn from.
-_LEAST_CUT = 0.02
+#: Recent arrivals that are checked for a surge.
+_SURGE_SAMPLE = 12
+#: Arrivals this many times faster than the upstream's throughput are a surge.
+_SURGE_FACTOR = 3.0
+#: The threshold stays at or above this, so that some requests are always admitted
+#: and their responses carry its changes.
+_MIN_THRESHOLD = 0.02
 
 
 class AdmissionThreshold:
-    """The rank from which a guard sheds.
+    """The rank at and above which requests for one upstream are shed.
 
     Explanation
     ===========
 
-    The queue alone sheds in the right order, but only at the guard's door,
-    when shallower services have already worked for the request.  The cut is
-    announced on every reply so that the first node refuses instead.  It has
-    to admit just what the upstream can do: too low and slots idle, too high
-    and shallow work is wasted on requests the queue then displaces.
-
-    - When the queue displaces, the cut falls at once to the rank of the
-      displaced: all that the queue still holds is of lower rank, so nothing
-      from that rank on would get in.  If the last few arrivals came faster
-      than the upstream can serve, it falls half the way further to the rank
-      below which they would fit: sorting a surge out by displacement alone
-      lets shallow services work for most of it first.
-    - While some slots idle, it rises by a part of the capacity not used.
-    - While the queue is long or short, the cut is trimmed by a small share
-      of the capacity, so that it settles with a queue neither empty nor full.
-    - When slots mostly idle, it rises by steps that double: the demand above
-      the cut is not seen here, so its size has to be felt for.
+    The queue alone sheds in the right order, but only after the services above have
+    already worked for the request.  The threshold is announced on every response, so
+    that the node that first takes a request can refuse it instead.  It has to admit
+    what the upstream can do: if it is too low, slots idle; if it is too high, the
+    services above do work for requests that the queue then displaces.
+
+    - When the queue displaces a request, the threshold falls to its rank: the queue
+      is full of lower ranks, so nothing of that rank or above would be admitted.  If
+      the last few arrivals came much faster than the upstream serves, it also falls
+      half the way to the rank below which they fit its capacity.  Displacement alone
+      would react to a surge only after the services above have worked for most of it.
+    - While some slots idle, it rises by a part of the unused capacity.
+    - While the queue is long or short, it moves by a small fraction of the capacity,
+      so that it settles with a queue neither empty nor full.
+    - While slots are mostly idle, it rises by steps that double: requests above the
+      threshold no longer arrive, so their number has to be probed for.
 
     Parameters
     ==========
 
     surge_sample : int
-        Arrivals looked at for a surge.
+        Number of recent arrivals that are checked for a surge.
 
     Examples
     ========
 
-    >>> cut = AdmissionThreshold()
-    >>> cut.value
+    >>> threshold = AdmissionThreshold()
+    >>> threshold.value
     5.0
     >>> for i in range(100):
-    ...     cut.demand.add(3 + i / 100)
-    >>> cut.on_displaced(3.5, now=1.0, capacity=10.0)
-    >>> cut.value
+    ...     threshold.demand.add(3 + i / 100)
+    >>> threshold.on_displaced(3.5, now=1.0, capacity=10.0)
+    >>> threshold.value
     3.5
     """
 
-    def __init__(self, surge_sample: int = _RECENT) -> None:
+    def __init__(self, surge_sample: int = _SURGE_SAMPLE) -> None:
         self._surge_sample = surge_sample
         self._value = float(RANK_LIMIT)
-        self._rise = _FIRST_RISE
+        self._rise = _MIN_RISE
         self._demand = DemandHistogram()
-        self._recent: deque[tuple[float, float]] = deque(maxlen=surge_sample)
+        self._recent_arrivals: deque[tuple[float, float]] = deque(maxlen=surge_sample)
 
     @property
     def value(self) -> float:
-        """Requests of this rank or above are shed."""
+        """The threshold: requests of this rank or above are shed."""
         return self._value
 
     @property
     def demand(self) -> DemandHistogram:
-        """Recent arrivals by rank."""
+        """Histogram of recent arrivals by rank."""
         return self._demand
 
     def on_arrival(self, rank: float, now: float) -> None:
-        """Count an arrival at a time in seconds."""
+        """Count an arrival; ``now`` is in seconds."""
         self._demand.add(rank)
-        self._recent.append((now, rank))
+        self._recent_arrivals.append((now, rank))
 
     def on_displaced(self, rank: float, now: float, capacity: float) -> None:
-        """Take note that the queue had no room for a rank.
+        """Lower the threshold to the rank of a request displaced from the queue.
 
         Parameters
         ==========
 
         rank : float
-            What was refused.
+            Rank of the refused request.
         now : float
-            The time, in seconds.
+            The current time, in seconds.
         capacity : float
-            Requests the upstream can finish in a second.
+            Requests that the upstream can complete in a second.
         """
-        self._rise = _FIRST_RISE
+        self._rise = _MIN_RISE
         self._value = min(self._value, rank)
         self.on_pressure(now, capacity)
 
     def on_pressure(self, now: float, capacity: float) -> None:
-        """Take note that the queue is filling.
+        """Lower the threshold if the queue fills because of a surge.
 
-        Moves the cut half the way to the rank below which the last arrivals
-        fit, if they come much faster than the upstream can serve.
+        If the last arrivals came much faster than the upstream can serve, the
+        threshold moves half the way to the rank below which they fit its capacity.
         """
-        recent = self._recent
+        recent = self._recent_arrivals
         if len(recent) == self._surge_sample:
             span = max(1e-3, now - recent[0][0])
             fitting = int(capacity * span)
-            if fitting < self._surge_sample / _SURGE:
+            if fitting < self._surge_sample / _SURGE_FACTOR:
                 ranks = sorted(rank for _, rank in recent)
                 self._value = min(self._value, (self._value + ranks[fitting]) / 2)
-        self._value = max(_LEAST_CUT, self._value)
+        self._value = max(_MIN_THRESHOLD, self._value)
 
-    def update(self, capacity: float, queue_share: float, utilisation: float) -> None:
-        """Adapt the cut; called once each tick.
+    def update(self, capacity: float, queue_fill: float, utilisation: float) -> None:
+        """Adapt the threshold to queue and utilisation; called once each tick.
 
         Parameters
         ==========
 
         capacity : float
-            Requests the upstream can finish in one tick.
-        queue_share : float
-            Length of the queue as a share of its bound.
+            Requests that the upstream can complete in one tick.
+        queue_fill : float
+            Length of the queue as a fraction of its bound.
         utilisation : float
-            Share of the slots' time since the last tick that was used.
+            Fraction of the slots' time since the last tick that was in use.
         """
         idle = 1.0 - utilisation
         if idle > _MOSTLY_IDLE:
             self._value += self._rise
-            self._rise = min(_LONGEST_RISE, 2 * self._rise)
+            self._rise = min(_MAX_RISE, 2 * self._rise)
         else:
-            self._rise = _FIRST_RISE
+            self._rise = _MIN_RISE
             if idle > _SOME_IDLE:
-                self._trim(capacity * idle * _IDLE_GAIN)
-            elif queue_share > _QUEUE_HIGH:
-                self._trim(-capacity * _TRIM)
-            elif queue_share < _QUEUE_LOW:
-                self._trim(capacity * _TRIM)
-        self._value = min(float(RANK_LIMIT), max(_LEAST_CUT, self._value))
+                self._admit_more(capacity * idle * _IDLE_GAIN)
+            elif queue_fill > _QUEUE_HIGH:
+                self._admit_more(-capacity * _QUEUE_TRIM)
+            elif queue_fill < _QUEUE_LOW:
+                self._admit_more(capacity * _QUEUE_TRIM)
+        self._value = min(float(RANK_LIMIT), max(_MIN_THRESHOLD, self._value))
         self._demand.age(self._value)
 
-    def _trim(self, per_tick: float) -> None:
+    def _admit_more(self, requests_per_tick: float) -> None:
+        """Move the threshold to admit more, or fewer if negative, per tick."""
         demand = self._demand
-        count = per_tick / demand.tick_fraction
-        if per_tick < 0:
-            moved = demand.rank_at(max(0.0, demand.count_below(self._value) + count))
-            self._value = min(self._value - _LEAST_TRIM, moved)
+        count = requests_per_tick / demand.tick_fraction
+        if requests_per_tick < 0:
+            lowered = demand.rank_at(max(0.0, demand.count_below(self._value) + count))
+            self._value = min(self._value - _MIN_TRIM, lowered)
         else:
             rise = demand.rank_above(self._value, count) - self._value
-            self._value += min(_MOST_TRIM, max(_LEAST_TRIM, rise))
+            self._value += min(_MAX_TRIM, max(_MIN_TRIM, rise))
--- a/packages/rattanfork-core/rattanfork_core/admission/waiter.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/waiter.py
@@ -1,25 +1,27 @@
-"""A request at the guard's door."""
+"""A request as the admission controller sees it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request that asks to be admitted.
+    """A request that waits for admission, or runs.
 
     Parameters
     ==========
 
     key : int
-        Identifies the waiter to the guard.
+        Identifies the request at this controller.
     rank : float
-        Place in the order of shedding.
+        Shedding order: the highest rank is shed first.
     operation : str
-        Operation of the service, for the estimate of its running time.
+        Operation of the service, for the estimate of its service time.
     deadline : float
-        Time by which its answer must be out, in seconds of the clock.
+        Time by which the response has to be sent, in seconds of the clock.
     arrived : float
-        Time of its arrival.
+        When the request arrived, in seconds of the clock.
+    started : float
+        When it was sent to the upstream, in seconds of the clock.
     """
 
     key: int
