--- a/packages/rattanfork-core/rattanfork_core/request/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/request/__init__.py
@@ -1,4 +1,4 @@
-"""One request: its importance, fate, outcome, and the attempts made for it."""
+"""A request at the node that takes it: rank, attempts, and outcome."""
 
 from rattanfork_core.request.attempt import Attempt, AttemptState
 from rattanfork_core.request.commands import (
--- a/packages/rattanfork-core/rattanfork_core/request/commands.py
+++ b/packages/rattanfork-core/rattanfork_core/request/commands.py
@@ -1,4 +1,4 @@
-"""What a request machine asks its driver to do."""
+"""Commands of the request state machine, which its driver carries out."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
-    """Send the request to an instance, lending it some extra attempts."""
+    """Send the request to an instance, with a number of extra attempts to spend."""
 
     attempt: int
     instance: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCancel:
-    """Tell an instance that its attempt is no longer wanted."""
+    """Tell an instance to cancel an attempt."""
 
     attempt: int
     instance: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFence:
-    """Ask an instance, over a new connection, to refuse an attempt for good."""
+    """Ask an instance, over a new connection, to never run an attempt from now on."""
 
     attempt: int
     instance: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller its final answer."""
+    """Send the final result to the caller."""
 
     result: CallResult
 
--- a/packages/rattanfork-core/rattanfork_core/request/fingerprint.py
+++ b/packages/rattanfork-core/rattanfork_core/request/fingerprint.py
@@ -1,27 +1,27 @@
-"""Recognizes a request that is sent again under another ID."""
+"""Fingerprints that identify a request sent again under another request ID."""
 
 from xxhash import xxh3_64
 
-#: Bytes in which the length of a part is hashed with it.
+#: Size of the length field that is hashed in front of each part.
 _LENGTH_BYTES = 8
 
 
 def request_fingerprint(*parts: bytes) -> int:
-    """Return a 64-bit hash of what a request asks for.
+    """Return a 64-bit hash of the content of a request.
 
     Explanation
     ===========
 
-    A caller that tries again sends a new request ID, at any node.  The fingerprint
-    of both attempts is the same, at every node.  Not for secrets: who chooses the
-    request can choose the fingerprint.
+    A caller that retries may use a new request ID and another node.  The fingerprint
+    of both requests is the same at every node.  The hash is not cryptographic: a
+    client can construct a request with a given fingerprint.
 
     Parameters
     ==========
 
     parts : bytes
-        What makes two requests the same, in a fixed order, such as method, host,
-        path and body.
+        Everything that has to be equal for two requests to be the same, in a fixed
+        order, such as method, host, path and body.
 
     Examples
     ========
@@ -40,7 +40,7 @@
 
 
 def format_fingerprint(fingerprint: int) -> str:
-    """Return a fingerprint as log lines and commands show it.
+    """Return a fingerprint in the hexadecimal form of log lines and commands.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/request/importance.py
+++ b/packages/rattanfork-core/rattanfork_core/request/importance.py
@@ -1,10 +1,10 @@
-"""How much a request matters."""
+"""Importance of a request, the first criterion of the shedding order."""
 
 from enum import IntEnum
 
 
 class Importance(IntEnum):
-    """Importance of a request; a lower number is shed later.
+    """Importance of a request; the highest number is shed first.
 
     Examples
     ========
@@ -23,13 +23,13 @@
 
     @classmethod
     def parse(cls, name: str) -> "Importance":
-        """Return the importance called ``name``.
+        """Return the importance with a name, in any case.
 
         Raises
         ======
 
         ValueError
-            If there is no such importance.
+            If no importance has this name.
         """
         try:
             return cls[name.upper()]
@@ -39,9 +39,10 @@
 
     @property
     def label(self) -> str:
-        """The name operators write."""
+        """Name of the importance as written in settings and rules."""
         return self.name.lower()
 
 
-#: Ranks lie in ``[0, RANK_LIMIT)``: the importance plus the request's fate.
+#: Ranks lie in ``[0, RANK_LIMIT)``: the importance plus a tiebreak in ``[0, 1)``.  An
+#: admission threshold of this value admits everything.
 RANK_LIMIT = len(Importance)
--- a/packages/rattanfork-core/rattanfork_core/request/outcome.py
+++ b/packages/rattanfork-core/rattanfork_core/request/outcome.py
@@ -1,14 +1,14 @@
-"""What a caller is told of its request."""
+"""Outcome of a request and its reason, as reported to the caller."""
 
 from enum import IntEnum
 
 
 class Outcome(IntEnum):
-    """The three things that can be said of a request.
+    """Outcome of a request.
 
-    ``NOT_RUN`` is a proof, not a belief: the request was never handed to an
-    upstream and no node will ever hand it over.  Where neither a whole
-    answer nor that proof is at hand, the outcome is ``UNKNOWN``.
+    ``NOT_RUN`` is a guarantee: the request was never sent to an upstream, or the
+    upstream has confirmed that it did not run it, and no node will send it later.
+    Without that and without a complete response, the outcome is ``UNKNOWN``.
     """
 
     ANSWERED = 0
@@ -17,82 +17,83 @@
 
     @property
     def label(self) -> str:
-        """The value of the ``Rattanfork-Outcome`` header."""
+        """Value of the ``Rattanfork-Outcome`` header."""
         return _OUTCOME_LABELS[self]
 
 
 class Reason(IntEnum):
-    """Why a request has the outcome it has."""
+    """Reason for the outcome of a request."""
 
     NONE = 0
-    #: A guard's queue was full of requests of lower rank.
+    #: Shed by rank: the queue at the upstream was full, or the wait in it too long.
     SHED = 1
-    #: A node refused for a deeper service that had announced its threshold.
+    #: Refused early: the rank is not below the threshold announced for a service
+    #: further down the call graph.
     SHED_EARLY = 2
-    #: The request could not have finished in the time it had left.
+    #: The request could not have finished before its deadline.
     TOO_LATE = 3
-    #: A rule refuses such requests.
+    #: A rule refuses the request.
     RULE = 4
-    #: A rule's rate limit is spent.
+    #: The rate limit of a rule is exhausted.
     LIMIT = 5
     #: No instance of the service is known.
     NO_INSTANCE = 6
-    #: The instance takes no new work because it is leaving.
+    #: The instance is draining and takes no new requests.
     LEAVING = 7
-    #: The instance was restarted since the sender last heard of it.
+    #: The instance has restarted since the sender's last information about it.
     STALE_INSTANCE = 8
-    #: The upstream does not accept connections, or closed one unanswered.
+    #: The upstream does not accept connections, or closed one without a response.
     UPSTREAM_DOWN = 9
     #: The deadline passed.
     DEADLINE = 10
-    #: The caller left, or the call it belongs to has ended.
+    #: The caller disconnected, or the request that this call belongs to has ended.
     CANCELLED = 11
     #: The connection to the instance was lost.
     CONNECTION = 12
-    #: The key was fenced: an earlier attempt was reported as not run.
+    #: The idempotency key was fenced: an earlier attempt was reported as not run.
     FENCED = 13
-    #: The key belongs to an instance that is gone.
+    #: The idempotency key belongs to an instance that is gone.
     KEY_EXPIRED = 14
-    #: The key was used before by another caller or with another body.
+    #: The idempotency key was used before, by another caller or with another body.
     KEY_MISUSED = 15
-    #: The request ran, and its answer is no longer kept.
+    #: The request ran, and its stored response has been dropped.
     ANSWER_DROPPED = 16
-    #: The node does not know the accepted rules yet.
+    #: The node has not received its rules yet.
     NOT_READY = 17
-    #: The platform's table, needed for this kind of key, does not answer.
+    #: The platform's table, which this kind of key needs, does not respond.
     STORE_DOWN = 18
     #: The request is malformed.
     BAD_REQUEST = 19
-    #: The retry budget of the caller is spent.
+    #: The retry budget of the caller is exhausted.
     RETRY_BUDGET = 20
-    #: The answer or the request is larger than the limit.
+    #: The request or the response exceeds its size limit.
     TOO_LARGE = 21
-    #: The upstream itself refused, and said that it did not run the request.
+    #: The upstream itself refused, and confirmed that it did not run the request.
     UPSTREAM_SHED = 22
-    #: The upstream failed by itself: no deeper call of the run had failed.
+    #: The upstream failed, and no call that it made had failed.
     UPSTREAM_FAILED = 23
-    #: No route covers the request.
+    #: No route matches the request.
     NO_ROUTE = 24
-    #: The gate has no repeat left for a request that had arrived before.
+    #: The request has arrived here before, and the gate grants it no repeat.
     NO_REPEAT = 25
-    #: Upstreams that ran the request have ended, so no other one gets it.
+    #: Upstreams that ran the request have crashed, so it is not sent to others.
     QUARANTINED = 26
-    #: The request has no key of a client account.
+    #: The request carries no valid API key of a client account.
     UNAUTHENTICATED = 27
-    #: The node has no recent proof that keys have not been taken away.
+    #: The node could not confirm recently that API keys have not been revoked.
     UNCONFIRMED = 28
-    #: The quota of the client account is spent.
+    #: The quota of the client account is exhausted.
     QUOTA = 29
-    #: Nobody could tell how much of the quota is left.
+    #: No issuer of quota tokens could be reached.
     QUOTA_UNKNOWN = 30
 
     @property
     def label(self) -> str:
-        """The value of the ``Rattanfork-Reason`` header."""
+        """Value of the ``Rattanfork-Reason`` header."""
         return _REASON_LABELS[self]
 
 
-# Read several times for each request, and the name of a member of an enumeration
-# is slow to read.
+# Precomputed, as labels are read several times per request and the ``name`` of an
+# enum member is slow to read.
 _OUTCOME_LABELS = tuple(o.name.lower().replace("_", "-") for o in Outcome)
 _REASON_LABELS = tuple(r.name.lower().replace("_", "-") for r in Reason)
--- a/packages/rattanfork-core/rattanfork_core/request/progress.py
+++ b/packages/rattanfork-core/rattanfork_core/request/progress.py
@@ -1,24 +1,25 @@
-"""The place of a call in the order of shedding, by what was done for it."""
+"""Rank of the calls of a run, by the calls that have already succeeded for it."""
 
 from math import floor
 
 from rattanfork_core.request.importance import RANK_LIMIT
 
-#: Parts of each importance within which requests that have gone further go first: one
-#: for each importance of a route, where that of the account goes before it.
-_CELLS = RANK_LIMIT
+#: Equal intervals into which each importance is divided; progress reorders calls only
+#: within an interval.  With client accounts, the integer part of a rank is the
+#: account's importance and the interval within it the route's.
+_INTERVALS = RANK_LIMIT
 
 
 def rank_of_call(rank: float, succeeded: int) -> float:
-    """Return the rank of a call, by the rank and the progress of the run that makes it.
+    """Return the rank of a call, from the rank and progress of the run that makes it.
 
     Explanation
     ===========
 
-    A run that makes eight calls, one after another, loses all of them if one is shed.
-    A threshold that falls a little while such runs are under way would break many of
-    them half-way, and let in others from their start.  So among requests that matter
-    alike, those go first for which more was done.
+    If one of the sequential calls of a run is shed, the work of all calls before it
+    is wasted.  A threshold that falls slightly while such runs are in progress would
+    abort many of them midway and admit new ones.  Among requests of the same
+    importance, calls of runs that have made more progress are therefore shed later.
 
     Parameters
     ==========
@@ -26,7 +27,7 @@
     rank : float
         Rank of the run.
     succeeded : int
-        Calls of the run that have succeeded.
+        Number of calls of the run that have succeeded.
 
     Examples
     ========
@@ -34,10 +35,10 @@
     >>> round(rank_of_call(1.58, 0), 3), round(rank_of_call(1.58, 2), 3)
     (1.58, 1.46)
 
-    What matters more goes first, however little was done for it:
+    Progress never lifts a call above one of higher importance:
 
     >>> rank_of_call(1.39, 0) < rank_of_call(1.41, 7)
     True
     """
-    cell = floor(rank * _CELLS) / _CELLS
-    return cell + max(0.0, rank - cell) / (1 + succeeded)
+    interval_start = floor(rank * _INTERVALS) / _INTERVALS
+    return interval_start + max(0.0, rank - interval_start) / (1 + succeeded)
--- a/packages/rattanfork-core/rattanfork_core/request/result.py
+++ b/packages/rattanfork-core/rattanfork_core/request/result.py
@@ -1,4 +1,4 @@
-"""What an attempt came to."""
+"""Result of an attempt, as its guard reports it."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -7,45 +7,45 @@
 
 
 class FenceVerdict(IntEnum):
-    """A guard's word on an attempt that was fenced."""
+    """A guard's reply to a fence."""
 
-    #: Never handed over, and never will be.
+    #: The attempt was never sent to the upstream, and never will be.
     NOT_RUN = 0
-    #: Handed to the upstream.
+    #: The attempt was sent to the upstream.
     HANDED_OVER = 1
-    #: The guard has forgotten, or never had, the memory needed to tell.
+    #: The guard has no record, or no longer one, from which it could tell.
     UNKNOWN = 2
 
 
 @dataclass(slots=True)
 class CallResult:
-    """The answer of a guard to one attempt.
+    """Result of an attempt.
 
     Parameters
     ==========
 
     outcome : Outcome
-        What is known of the run.
+        Whether the request has run, as far as known.
     reason : Reason
-        Why, unless answered.
+        Reason for the outcome, unless answered.
     status : int
-        HTTP status of the upstream's answer; 0 unless answered.
+        HTTP status of the upstream's response; 0 without one.
     headers : list of pairs
-        Headers of the upstream's answer.
+        Headers of the upstream's response.
     body : bytes
-        The whole body.
+        Complete body of the response.
     block : bytes
-        Headers of the upstream's answer as lines that end in CRLF, where they
-        are forwarded without being taken apart.
+        Headers of the upstream's response as raw lines that end in CRLF, where they
+        are forwarded unparsed.
     unused_attempts : int
-        Extra attempts lent with the call and not spent below.
+        Extra attempts that were lent with the call and not spent.
     retry_elsewhere : bool
-        Whether another instance may do better.
+        Whether a retry at another instance may succeed.
     retry_after : float
-        Seconds until the caller should come back; 0 if not known.
+        Seconds after which the caller should retry; 0 if not known.
     reach : tuple of str
-        Services that runs of the operation call, at any depth, as the guard has
-        learned.
+        Services that the operation calls, directly or indirectly, as observed by the
+        guard.
     """
 
     outcome: Outcome
--- a/packages/rattanfork-core/rattanfork_core/request/retry_after.py
+++ b/packages/rattanfork-core/rattanfork_core/request/retry_after.py
@@ -1,4 +1,4 @@
-"""When a refused caller should come back."""
+"""``Retry-After`` of refused requests, with jitter."""
 
 from random import Random
 
@@ -6,15 +6,15 @@
 
 
 def jittered_retry_after(base: float, rank: float, random: Random) -> float:
-    """Return seconds after which a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
     Explanation
     ===========
 
-    Callers that are refused together and told the same time come back
-    together and are refused again.  The time is therefore drawn uniformly
-    from ``base`` to three times ``base``, and grows with the rank so that
-    important callers come back first.
+    Callers that are refused together and given the same time would retry together and
+    be refused again.  The time is therefore drawn uniformly from ``base`` to three
+    times ``base``, and grows with the rank, so that important requests are retried
+    first.
 
     Parameters
     ==========
@@ -22,9 +22,9 @@
     base : float
         Shortest time, in seconds.
     rank : float
-        The request's place in the order of shedding.
+        Rank of the request.
     random : Random
-        Source of the spread.
+        Source of the jitter.
 
     Examples
     ========
@@ -32,5 +32,5 @@
     >>> 1 <= jittered_retry_after(1.0, 2.5, Random(1)) <= 4.5
     True
     """
-    urgency = 1.0 + 0.5 * rank / RANK_LIMIT
-    return base * urgency * random.uniform(1.0, 3.0)
+    rank_factor = 1.0 + 0.5 * rank / RANK_LIMIT
+    return base * rank_factor * random.uniform(1.0, 3.0)
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Every step of a request, with every fault at it."""
+"""Tests of the request state machine: retries, fences, and the final outcome."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,33 +28,33 @@
     return RequestStateMachine(account, idempotent, pick, pinned)
 
 
-def refusal() -> CallResult:
+def shed_result() -> CallResult:
     return CallResult(Outcome.NOT_RUN, Reason.SHED, retry_elsewhere=True)
 
 
-def test_an_answer_ends_it():
+def test_answer_finishes_request():
     request = machine()
     request.start()
     [finish] = request.on_result(1, CallResult(Outcome.ANSWERED, status=200))
     assert finish.result.outcome is Outcome.ANSWERED
 
 
-def test_a_refused_posting_is_tried_elsewhere():
+def test_refused_write_is_retried_at_another_instance():
     request = machine(idempotent=False)
     request.start()
-    [call] = request.on_result(1, refusal())
+    [call] = request.on_result(1, shed_result())
     assert call.instance == "b"
 
 
-def test_a_lost_posting_is_fenced_before_anything_else():
-    # The connection broke: the posting may sit in the buffer of a paused
-    # node, and run when it wakes.
+def test_write_on_lost_connection_is_fenced_before_retry():
+    # The write may be in the receive buffer of a paused process, and run when the
+    # process resumes.
     request = machine(idempotent=False)
     request.start()
     assert request.on_connection_lost(1) == [SendFence(1, "a")]
 
 
-def test_a_fenced_posting_that_did_not_run_is_tried_elsewhere():
+def test_fenced_write_that_did_not_run_is_retried_at_another_instance():
     request = machine(idempotent=False)
     request.start()
     request.on_connection_lost(1)
@@ -63,7 +63,7 @@
     assert call.instance == "b"
 
 
-def test_without_the_guards_word_a_lost_posting_is_unknown():
+def test_outcome_of_lost_write_is_unknown_unless_fence_proves_not_run():
     for verdict in (FenceVerdict.UNKNOWN, FenceVerdict.HANDED_OVER):
         request = machine(idempotent=False)
         request.start()
@@ -72,14 +72,14 @@
         assert finish.result.outcome is Outcome.UNKNOWN
 
 
-def test_a_lost_read_is_tried_elsewhere_without_waiting():
+def test_read_on_lost_connection_is_retried_without_fence():
     request = machine()
     request.start()
     [call] = request.on_connection_lost(1)
     assert call.instance == "b"
 
 
-def test_the_deadline_gives_the_final_answer_and_cancels():
+def test_deadline_cancels_attempt_and_finishes_as_unknown():
     request = machine()
     request.start()
     cancel, finish = request.on_deadline()
@@ -88,15 +88,15 @@
     assert request.on_result(1, CallResult(Outcome.ANSWERED)) == []
 
 
-def test_no_instance_is_proved_not_run():
+def test_request_without_any_instance_is_not_run():
     account = Account(ManualClock(), 9.0, 2)
     request = RequestStateMachine(account, False, lambda avoid: None)
     [finish] = request.start()
     assert finish.result.outcome is Outcome.NOT_RUN
 
 
-def test_one_lost_attempt_spoils_the_proof_of_all():
-    # The first try may have run; that the second was refused proves nothing.
+def test_outcome_is_unknown_if_one_attempt_was_lost():
+    # The first attempt may have run; the refusal of the second proves nothing of it.
     request = machine()
     request.start()
     request.on_connection_lost(1)
@@ -114,7 +114,7 @@
 
 
 @given(EVENTS, st.booleans(), st.integers(0, 3), st.data())
-def test_any_order_of_events_ends_once_and_truthfully(events, idempotent, n, data):
+def test_any_event_order_finishes_once_with_a_true_outcome(events, idempotent, n, data):
     request = machine(idempotent, n)
     commands = list(request.start())
     for event in events:
@@ -124,7 +124,7 @@
         if event == "answer":
             commands += request.on_result(number, CallResult(Outcome.ANSWERED))
         elif event == "refuse":
-            commands += request.on_result(number, refusal())
+            commands += request.on_result(number, shed_result())
         elif event == "unknown":
             lost = CallResult(Outcome.UNKNOWN, retry_elsewhere=True)
             commands += request.on_result(number, lost)
@@ -149,11 +149,11 @@
         assert all(a.state is AttemptState.NOT_RUN for a in request.attempts)
 
 
-def test_an_upstream_that_refuses_by_turns_is_asked_again():
-    """Every instance refuses every second request although it has room.
+def test_upstream_refusal_is_retried_at_same_instance_free_of_charge():
+    """Guards against giving up on upstreams that refuse every second request.
 
-    Asking once more, also the one that refused before, costs a refusal and no
-    run; given up, the call would fail all that was done above it.
+    A retry after such a refusal runs nothing twice, while giving up would waste the
+    work done for the request at the services above.
     """
     machine = RequestStateMachine(
         Account(ManualClock(), deadline=9.0, attempts=0),
@@ -170,7 +170,7 @@
     assert finish.result.outcome is Outcome.NOT_RUN
 
 
-def test_a_guard_that_refuses_is_not_asked_again():
+def test_shed_by_guard_is_not_retried_free_of_charge():
     machine = RequestStateMachine(
         Account(ManualClock(), deadline=9.0, attempts=0),
         True,
@@ -183,7 +183,7 @@
     assert finish.result.reason is Reason.SHED
 
 
-def failed_by_itself() -> CallResult:
+def upstream_error() -> CallResult:
     return CallResult(
         Outcome.UNKNOWN,
         Reason.UPSTREAM_FAILED,
@@ -193,10 +193,10 @@
     )
 
 
-def test_an_upstreams_failure_is_told_if_the_next_attempt_comes_to_nothing():
-    """The first upstream answers 500; the second has no room, or is lost.
+def test_upstream_error_is_returned_if_the_retry_gets_no_response():
+    """Guards against reporting "unknown" in place of an upstream's error response.
 
-    The caller gets the answer of the first, whole, and not that nobody knows.
+    The first upstream answers 500; the retry is shed, or its connection is lost.
     """
     for second in (
         CallResult(Outcome.NOT_RUN, Reason.SHED),
@@ -204,22 +204,22 @@
     ):
         request = machine()
         request.start()
-        request.on_result(1, failed_by_itself())
+        request.on_result(1, upstream_error())
         [finish] = request.on_result(2, second)
         assert (finish.result.status, finish.result.body) == (500, b"why")
 
 
-def test_an_upstreams_failure_is_told_when_the_time_runs_out_meanwhile():
+def test_upstream_error_is_returned_if_the_retry_exceeds_the_deadline():
     request = machine()
     request.start()
-    request.on_result(1, failed_by_itself())
+    request.on_result(1, upstream_error())
     *_, finish = request.on_deadline()
     assert finish.result.status == 500
 
 
-def test_an_answer_after_a_failure_is_what_the_caller_gets():
+def test_answer_of_retry_replaces_earlier_upstream_error():
     request = machine()
     request.start()
-    request.on_result(1, failed_by_itself())
+    request.on_result(1, upstream_error())
     [finish] = request.on_result(2, CallResult(Outcome.ANSWERED, status=200))
     assert finish.result.status == 200
--- a/packages/rattanfork-core/rattanfork_core/request/tiebreak.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tiebreak.py
@@ -1,21 +1,23 @@
-"""Which requests of one importance are shed first."""
+"""Shedding order of requests: importance, then a hash of the request ID."""
 
 from rattanfork_core.hashing import hash64
 from rattanfork_core.request.importance import Importance
 
-_SPAN = float(1 << 64)
+_HASH_RANGE = float(1 << 64)
 
 
 def request_tiebreak(request_id: str) -> float:
-    """Return a number in ``[0, 1)`` that depends on the request ID alone.
+    """Return the place of a request among those of its importance.
+
+    A number in ``[0, 1)`` that is a hash of the request ID alone.
 
     Explanation
     ===========
 
-    Shedding by coin at each of ``k`` calls of one screen lets whole screens
-    through with probability ``p**k``.  Every node that sheds by this number
-    instead keeps or drops all calls of one screen together, so whole screens
-    succeed with probability ``p``.
+    If each of the ``k`` calls made for one request were shed at random, all of them
+    would be admitted with probability ``p**k``.  As all nodes shed by this number,
+    they admit or shed the calls of one request together, so requests succeed with
+    probability ``p``.
 
     Examples
     ========
@@ -25,14 +27,14 @@
     >>> 0 <= request_tiebreak("b") < 1
     True
     """
-    return hash64(request_id) / _SPAN
+    return hash64(request_id) / _HASH_RANGE
 
 
 def request_rank(importance: Importance, request_id: str) -> float:
-    """Return the place of a request in the order of shedding.
+    """Return the rank of a request: the higher, the earlier it is shed.
 
-    Requests with a higher rank are shed first; importance decides before
-    fate does.
+    The integer part is the importance; the fraction is the tiebreak among requests
+    of the same importance.
 
     Examples
     ========
