--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -14,16 +14,16 @@
 from rattanfork_core.atmostonce import RunLedger, Ticket
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import ManualClock, MonotonicClock
-from rattanfork_core.hints import HintTable
+from rattanfork_core.gate_status import ThresholdCache
 from rattanfork_core.membership import (
-    HeldVersions,
+    CachedVersions,
     Member,
     Membership,
     MemberStatus,
     Ping,
     decode_gossip,
     encode_gossip,
-    on_duty,
+    holds_role,
 )
 from rattanfork_core.request import CallResult, Importance, Outcome
 from rattanfork_core.routing import InstancePicker, InstanceState
@@ -91,7 +91,7 @@
 
         names = list(view.members)
         full = encode_gossip(view.tick()[0].message, b"k")
-        while view.pending_rumours:
+        while view.pending_updates:
             view._news()
         clock.advance(5)
         empty = encode_gossip(view.tick()[0].message, b"k")
@@ -102,7 +102,7 @@
                 "tick_us": microseconds(tick, 300),
                 "rumour_us": microseconds(rumour, 2000),
                 "duty_us": microseconds(
-                    lambda names=names: on_duty(names[0], names, "rules", 2), 20
+                    lambda names=names: holds_role(names[0], names, "rules", 2), 20
                 ),
                 "datagram_empty": len(empty),
                 "datagram_six_rumours": len(full),
@@ -229,8 +229,8 @@
 
     picker = InstancePicker("n", "dc1", clock, Random(1))
     picker.update(InstanceState(f"i{i}", "dc1", 120) for i in range(12))
-    hints = HintTable(clock)
-    hints.hear("s/o", "i1", 2.0)
+    hints = ThresholdCache(clock)
+    hints.update("s/o", "i1", 2.0)
     burn = BurnMeter(clock)
     call = Call(
         1, "b", "get", "GET", "/get?x=1", [["Accept", "*/*"]], b"", "f" * 32,
@@ -243,7 +243,7 @@
 
     packed = msgpack.unpackb(encode_message(call))
     gossip = Ping(
-        1, a_member(1), "x@y", HeldVersions(3), tuple(a_member(i) for i in range(6))
+        1, a_member(1), "x@y", CachedVersions(3), tuple(a_member(i) for i in range(6))
     )
     datagram = encode_gossip(gossip, b"k")
     none: frozenset[str] = frozenset()
@@ -251,7 +251,7 @@
         "admit_and_finish_us": microseconds(admit, 20_000),
         "admission_tick_us": microseconds(admission.tick, 1000),
         "pick_us": microseconds(lambda: picker.pick(none), 20_000),
-        "hint_us": microseconds(lambda: hints.cut("s/o", "i1"), 20_000),
+        "hint_us": microseconds(lambda: hints.threshold("s/o", "i1"), 20_000),
         "burn_us": microseconds(
             lambda: burn.add("s", Importance.HIGH, "r", True, 0.01), 20_000
         ),
--- a/packages/rattanfork-node/rattanfork_node/relay/departure.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -9,7 +9,7 @@
 _USUAL_TIMES = 4.0
 
 
-class Departure:
+class DrainPolicy:
     """Decides which requests a node takes that was told to stop.
 
     Explanation
@@ -40,11 +40,11 @@
         self._ends_at = ends_at
         self._serves_until = serves_until
 
-    def takes(self, route: Route, picker: InstancePicker) -> bool:
+    def accepts(self, route: Route, picker: InstancePicker) -> bool:
         """Return whether a caller's request of a route is still taken."""
         now = self._clock.now()
         left = self._ends_at - now
         if route.timeout <= left:
             return True
-        usual = picker.usual_latency
+        usual = picker.slowest_latency
         return now <= self._serves_until and 0.0 < _USUAL_TIMES * usual <= left
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from rattanfork_core.clock import Clock
-from rattanfork_core.hints import (
-    ChainReach,
-    ChainThresholds,
-    EarlyRefusal,
-    GateReports,
-    HintTable,
+from rattanfork_core.gate_status import (
+    CallChainThresholds,
+    EarlyShedder,
+    GateReportTable,
+    OperationDependencies,
+    ThresholdCache,
 )
 from rattanfork_core.membership import Membership
 from rattanfork_core.quarantine import Quarantine
@@ -33,20 +33,20 @@
 from rattanfork_node.http1.handler import RequestHandler
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import PeerPool
-from rattanfork_node.relay.admitted import Admitted, Attempted
+from rattanfork_node.relay.admitted_request import Admitted, Attempted
 from rattanfork_node.relay.client_accounts import ClientAccounts
-from rattanfork_node.relay.departure import Departure
+from rattanfork_node.relay.decision_log import DecisionLog
+from rattanfork_node.relay.drain_policy import DrainPolicy
 from rattanfork_node.relay.forwarding import Forwarding
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.relay.job import Job
-from rattanfork_node.relay.journal import Journal
-from rattanfork_node.relay.ranking import rank_of_request
 from rattanfork_node.relay.refusals import NOT_RUN_STATUS, Refusals
+from rattanfork_node.relay.request_rank import rank_of_request
 from rattanfork_node.relay.settings import RelaySettings
 from rattanfork_node.telemetry import Counters
 
 if TYPE_CHECKING:
-    from rattanfork_node.relay.ruling import Ruler, Verdict
+    from rattanfork_node.relay.rule_decisions import Ruler, Verdict
 
 #: Seconds before the deadline at which a request is given up, so that its
 #: answer still reaches the caller in time.
@@ -98,7 +98,7 @@
         What happened.
     journal : Journal
         Told what was decided on each request.
-    reports : GateReports
+    reports : GateReportTable
         What the gates of the fleet tell.
     quarantine : Quarantine
         Knows the requests that no upstream may run.
@@ -119,8 +119,8 @@
         pool: PeerPool,
         gate: Gate,
         counters: Counters,
-        journal: Journal,
-        reports: GateReports,
+        journal: DecisionLog,
+        reports: GateReportTable,
         quarantine: Quarantine,
         accounts: ClientAccounts,
     ) -> None:
@@ -131,11 +131,11 @@
         self.gate = gate
         self.counters = counters
         self.quarantine = quarantine
-        self.early = EarlyRefusal(clock)
+        self.early = EarlyShedder(clock)
         #: Services behind the operations that callers ask for here.
-        self.reach = ChainReach()
+        self.reach = OperationDependencies()
         self._reports = reports
-        self._chain = ChainThresholds(reports, self.reach, directory.instance_count)
+        self._chain = CallChainThresholds(reports, self.reach, directory.instance_count)
         self.my_name = membership.me.name
         self._journal = journal
         self._accounts = accounts
@@ -148,7 +148,7 @@
         self._rules = rules
         self._ruler: Ruler | None = None
         self._membership = membership
-        self._departure: Departure | None = None
+        self._departure: DrainPolicy | None = None
         self._operations: dict[tuple[str, str], str] = {}
         self._background: set[asyncio.Task] = set()
         self._caller_line = names.caller + b": " + settings.service.encode() + b"\r\n"
@@ -223,15 +223,15 @@
                 )
                 return
             if verdict.data_centre is not None:
-                elsewhere = picker.outside(verdict.data_centre)
-        if self._departure is not None and not self._departure.takes(route, picker):
+                elsewhere = picker.instances_outside(verdict.data_centre)
+        if self._departure is not None and not self._departure.accepts(route, picker):
             after = self._settings.retry_after
             self._refusals.refuse(exchange, Reason.LEAVING, after, route=route.name)
             return
         rank = rank_of_request(exchange, route, rule_decides)
         operation = self.operation(route, service)
         blocked = None
-        if rank < self._chain.cut(operation, service):
+        if rank < self._chain.threshold(operation, service):
             blocked = self._blocked(picker, route, service, rank)
         if blocked is None:
             self._refusals.refuse(
@@ -240,8 +240,8 @@
                 self._return_after(rank),
                 route=route.name,
                 rank=round(rank, 3),
-                thresholds=self.early.told(picker, operation),
-                chain=self._chain.told(operation, service),
+                thresholds=self.early.thresholds(picker, operation),
+                chain=self._chain.thresholds_by_service(operation, service),
             )
             return
         self._forward(
@@ -252,18 +252,20 @@
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
         """Return the instances to leave out for a rank; None if all would shed it."""
-        blocked = self.early.blocked(picker, self.operation(route, service), rank)
+        blocked = self.early.shedding_instances(
+            picker, self.operation(route, service), rank
+        )
         if blocked is None or not len(self._reports):
             return blocked
         shedding = set()
         for state in picker.subset:
-            cut, state.impaired_until = self._reports.about(service, state.name)
+            cut, state.impaired_until = self._reports.gate_state(service, state.name)
             if cut <= rank:
                 shedding.add(state.name)
         # Each gate may be asked if all shed: it judges for itself.
         return blocked | shedding if len(shedding) < len(picker.subset) else blocked
 
-    def leave(self, departure: Departure) -> None:
+    def drain(self, departure: DrainPolicy) -> None:
         """Take only what a departing node does.
 
         Calls of runs at the node's own upstream are taken until the end: those
@@ -276,14 +278,14 @@
         key = (route.name, service)
         name = self._operations.get(key)
         if name is None:
-            if len(self._operations) > 4 * HintTable.MOST_HINTS:
+            if len(self._operations) > 4 * ThresholdCache.MAX_ENTRIES:
                 self._operations.clear()
             name = self._operations[key] = f"{route.name}/{service}"
         return name
 
     def bury(self, name: str) -> None:
         """Take note that another process answers at a member's address."""
-        self._membership.bury(name)
+        self._membership.mark_dead(name)
 
     def suspect(self, name: str) -> None:
         """Take note that no connection to a member could be made."""
@@ -368,7 +370,7 @@
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
     ) -> Verdict:
         if self._ruler is None:
-            from rattanfork_node.relay.ruling import Ruler
+            from rattanfork_node.relay.rule_decisions import Ruler
 
             self._ruler = Ruler(self.clock, self._settings.data_centre)
         return self._ruler.rule(
@@ -378,13 +380,13 @@
             service,
             exchange.method.decode("latin-1"),
             exchange.account_name or self._settings.service,
-            self.early.pressure(picker, self.operation(route, service)),
+            self.early.shed_share(picker, self.operation(route, service)),
         )
 
     def _pass_up(self, parent: Job, admitted: Admitted, result: CallResult) -> None:
         operation, picker = admitted.operation, admitted.picker
-        own_cut = self.gate.cut(operation)
-        cut = self.early.highest(picker, operation, self.my_name, own_cut)
+        own_cut = self.gate.threshold(operation)
+        cut = self.early.highest_threshold(picker, operation, self.my_name, own_cut)
         if cut is not None:
             parent.heard_cut = min(parent.heard_cut, cut)
         if result.status < 200 or result.status >= 300:
