--- a/packages/rattanfork-core/rattanfork_core/quota/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas of client accounts, over all nodes together."""
+"""Quotas of client accounts: distributed rate limits over all nodes."""
 
 from rattanfork_core.quota.bound import QuotaBound
 from rattanfork_core.quota.bucket import TokenBucket
--- a/packages/rattanfork-core/rattanfork_core/quota/bound.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bound.py
@@ -1,24 +1,25 @@
-"""What a quota may be exceeded by."""
+"""Bounds of a quota: its limit per window and by how much it may be exceeded."""
 
 from dataclasses import dataclass
 
 from rattanfork_core.client_accounts import ClientAccount
 
-#: Parts of the excess that random arrivals, tokens on their way, and an issuer that
-#: starts may use; the rest is for nodes whose views of the fleet differ for a while.
-_GRANTED_PART = 0.55
-_LEASE_PART = 0.15
-_START_PART = 0.2
-#: Most tokens of an issuer that starts: several may start at once.
-_MOST_START = 5.0
-#: Seconds for which tokens are leased, at least and at most.
-_SHORTEST_LEASE = 0.1
-_LONGEST_LEASE = 1.0
+#: Fractions of the allowance that may be used up by random variation of the arrivals,
+#: by tokens that are leased and unused, and by issuers that take an account over.  The
+#: rest covers nodes whose membership views differ for a while.
+_VARIATION_FRACTION = 0.55
+_LEASE_FRACTION = 0.15
+_TAKEOVER_FRACTION = 0.2
+#: Most tokens of an issuer that takes an account over; several may do so at once.
+_MAX_INITIAL_TOKENS = 5.0
+#: Bounds of the time for which tokens are leased.
+_MIN_LEASE_SECONDS = 0.1
+_MAX_LEASE_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBound:
-    """The most requests of an account that may run in a window, over all nodes.
+    """Upper bound of the requests of an account in a window, over all nodes.
 
     Parameters
     ==========
@@ -26,9 +27,9 @@
     window : float
         Length of the window, in seconds.
     excess : float
-        Share of the limit that may run besides.
+        Fraction of the limit by which it may be exceeded.
     slack : float
-        Requests that may run besides.
+        Number of requests by which it may be exceeded in addition.
 
     Examples
     ========
@@ -46,42 +47,44 @@
     slack: float = 20.0
 
     def window_limit(self, account: ClientAccount) -> float:
-        """Return the requests that are within the quota in a window."""
+        """Return the limit of the account on the requests in a window."""
         return account.rate * self.window + account.burst
 
     def sustained_rate(self, account: ClientAccount) -> float:
-        """Return the requests a second that keep within the quota for ever."""
+        """Return the highest steady rate, in requests per second, that is granted."""
         return self.issue_limit(account) / self.window
 
     def issue_limit(self, account: ClientAccount) -> float:
-        """Return the requests that are let in at most in a window.
+        """Return the most tokens that are issued in a window.
 
-        Arrivals that are random exceed the limit in some windows though their mean
-        is well below it.
+        It exceeds the limit, as random arrivals exceed it in some windows although
+        their mean rate is well below.
         """
-        return self.window_limit(account) + _GRANTED_PART * self.allowance(account)
+        return self.window_limit(account) + _VARIATION_FRACTION * self.allowance(
+            account
+        )
 
     def bucket_depth(self, account: ClientAccount) -> float:
-        """Return the requests that may be let in at once."""
-        return max(1.0, account.burst + _GRANTED_PART * self.allowance(account))
+        """Return the capacity of the token bucket: the largest burst."""
+        return max(1.0, account.burst + _VARIATION_FRACTION * self.allowance(account))
 
     def max_requests(self, account: ClientAccount) -> float:
-        """Return the requests that may run in any window."""
+        """Return the upper bound of the requests that run in any window."""
         return self.window_limit(account) + self.allowance(account)
 
     def allowance(self, account: ClientAccount) -> float:
-        """Return the requests by which the limit may be exceeded in a window."""
+        """Return by how many requests the limit may be exceeded in a window."""
         return self.window_limit(account) * self.excess + self.slack
 
     def lease_time(self, account: ClientAccount) -> float:
-        """Return the seconds after which an unused token is void.
+        """Return the seconds after which an unused token expires.
 
-        What is used in a window was issued in it or this much earlier.
+        Tokens used in a window may have been issued this long before it.
         """
-        allowed = _LEASE_PART * self.allowance(account)
-        seconds = allowed / self.sustained_rate(account)
-        return min(max(seconds, _SHORTEST_LEASE), _LONGEST_LEASE)
+        leased = _LEASE_FRACTION * self.allowance(account)
+        seconds = leased / self.sustained_rate(account)
+        return min(max(seconds, _MIN_LEASE_SECONDS), _MAX_LEASE_SECONDS)
 
     def initial_level(self, account: ClientAccount) -> float:
-        """Return the tokens of an issuer that has just taken an account over."""
-        return min(_START_PART * self.allowance(account), _MOST_START)
+        """Return the initial tokens of an issuer that takes an account over."""
+        return min(_TAKEOVER_FRACTION * self.allowance(account), _MAX_INITIAL_TOKENS)
--- a/packages/rattanfork-core/rattanfork_core/quota/bucket.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket whose rate may change."""
+"""Token bucket whose rate and capacity may change, for quotas."""
 
 from rattanfork_core.clock import Clock
 
 
 class TokenBucket:
-    """Tokens that come at a rate and are kept up to a limit.
+    """A token bucket that is given its rate and capacity at each refill.
 
     Parameters
     ==========
@@ -12,9 +12,9 @@
     clock : Clock
         Source of the current time.
     level : float
-        Tokens at the start.
+        Initial number of tokens.
     since : float or None
-        When the first began to come, in seconds of the clock; None for now.
+        Time from which the first refill counts, in seconds of the clock; None for now.
 
     Examples
     ========
@@ -30,42 +30,41 @@
     2.0
     """
 
-    __slots__ = ("_clock", "_level", "_then")
+    __slots__ = ("_clock", "_level", "_refilled_at")
 
     def __init__(
         self, clock: Clock, level: float = 0.0, since: float | None = None
     ) -> None:
         self._clock = clock
         self._level = float(level)
-        self._then = clock.now() if since is None else since
+        self._refilled_at = clock.now() if since is None else since
 
     @property
     def level(self) -> float:
-        """Tokens that are there."""
+        """Number of tokens in the bucket; may have a fraction."""
         return self._level
 
     def refill(self, rate: float, capacity: float) -> None:
-        """Add what has come since the last time.
+        """Add the tokens that have accrued since the last refill.
 
         Parameters
         ==========
 
         rate : float
-            Tokens a second.
+            Tokens per second.
         capacity : float
-            Tokens that are kept at most; no token that is there is lost by a rate
-            that came down.
+            Most tokens that the bucket holds; tokens beyond it are dropped.
         """
         now = self._clock.now()
-        self._level = min(capacity, self._level + rate * (now - self._then))
-        self._then = now
+        self._level = min(capacity, self._level + rate * (now - self._refilled_at))
+        self._refilled_at = now
 
     def take(self, count: int) -> int:
-        """Take up to so many tokens; return how many there were."""
+        """Take up to ``count`` tokens; return how many were taken."""
         taken = max(0, min(count, int(self._level)))
         self._level -= taken
         return taken
 
     def refund(self, count: int) -> None:
-        """Return tokens that were not used."""
+        """Put back tokens that were not used."""
         self._level += count
--- a/packages/rattanfork-core/rattanfork_core/quota/equal_split.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/equal_split.py
@@ -1,4 +1,4 @@
-"""Quotas in equal parts."""
+"""Quotas split equally among all nodes, without any messages."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 
 
 class EqualSplitQuota(Quota):
-    """Gives each node an equal part of each limit.
+    """Gives each node an equal part of each account's limit.
 
     Explanation
     ===========
 
-    Nothing has to travel, and no sum exceeds the limit while the size of the fleet is
-    known.  What one node does not use is of no use to another, so an account whose
-    requests come at a few nodes, or one by one, is refused below its limit.
+    No messages are needed, and the limit holds as long as the number of nodes is
+    known.  A part that one node does not use is lost to the others, so an account
+    whose requests arrive at a few nodes, or unevenly, is refused below its limit.
 
     Parameters
     ==========
@@ -24,7 +24,7 @@
     clock : Clock
         Source of the current time.
     fleet_size : callable
-        Returns how many nodes there are.
+        Returns the number of nodes.
 
     Examples
     ========
@@ -45,27 +45,27 @@
         self._buckets: dict[str, TokenBucket] = {}
 
     def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
-        """Decide at once, from this node's part."""
+        """Decide immediately, from this node's part of the limit."""
         if not account.limited:
             decided(QuotaDecision.GRANTED, 0.0)
             return
-        part = 1 / max(1, self._fleet())
-        most = max(1.0, account.burst * part)
+        fraction = 1 / max(1, self._fleet())
+        capacity = max(1.0, account.burst * fraction)
         bucket = self._buckets.get(account.name)
         if bucket is None:
-            bucket = self._buckets[account.name] = TokenBucket(self._clock, most)
-        rate = account.rate * part
-        bucket.refill(rate, most)
+            bucket = self._buckets[account.name] = TokenBucket(self._clock, capacity)
+        rate = account.rate * fraction
+        bucket.refill(rate, capacity)
         if bucket.take(1):
             decided(QuotaDecision.GRANTED, 0.0)
         else:
             decided(QuotaDecision.EXHAUSTED, (1 - bucket.level) / rate)
 
     def refund(self, account: ClientAccount, granted_at: float) -> None:
-        """Return the token to this node's part."""
+        """Put the token back into this node's part."""
         bucket = self._buckets.get(account.name)
         if bucket is not None:
             bucket.refund(1)
 
     def tick(self) -> None:
-        """Do nothing: no message is under way."""
+        """Do nothing, as there are no messages to time out."""
--- a/packages/rattanfork-core/rattanfork_core/quota/issuer.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/issuer.py
@@ -1,4 +1,4 @@
-"""Issues the tokens of accounts to all nodes."""
+"""Issuer of quota tokens, which the nodes lease before they forward requests."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,74 +9,91 @@
 from rattanfork_core.quota.bound import QuotaBound
 from rattanfork_core.quota.bucket import TokenBucket
 
-#: Seconds in which the views of all nodes agree on who is first in order: where the
-#: one before has left or was replaced, and where it may be partitioned.
-_HANDOVER = 0.5
-_DOUBTFUL_HANDOVER = 2.5
-#: Seconds for which a node that has asked is counted as served by this issuer.
-_ASKER_KEPT_FOR = 2.5
-#: Seconds without a request after which the state of an account is dropped.
-_IDLE = 30.0
-#: Part of an account's rate that an issuer gives in the first window after it has
-#: taken the account over: what the one before has issued in it is not known.
-_COLD_PART = 0.7
-#: Part of the rate that an issuer gives which may not be the only one.
-_ASKED_PART = 0.6
-#: Parts in which the window of issued tokens is kept.
-_PARTS = 50
-#: Accounts of which state is kept.
-_MOST_ACCOUNTS = 100_000
+#: Time until the membership views of all nodes agree on a new primary issuer, if its
+#: predecessor has left or was replaced.
+_HANDOVER_SECONDS = 0.5
+#: The same if the predecessor has failed: it may be partitioned and still issue tokens.
+_UNCERTAIN_HANDOVER_SECONDS = 2.5
+#: Time for which a node that sent a request counts as served by this issuer.
+_REQUESTER_TIMEOUT_SECONDS = 2.5
+#: Time without a request after which the state of an account is dropped.
+_IDLE_TIMEOUT_SECONDS = 30.0
+#: Fraction of an account's rate that a new primary issues in its first window: what
+#: its predecessor has issued in that window is not known.
+_FIRST_WINDOW_FRACTION = 0.7
+#: Fraction of the rate that a new primary issues during the handover, when another
+#: node may still be issuing as well.
+_HANDOVER_FRACTION = 0.6
+#: Buckets of the sliding window of issued tokens.
+_WINDOW_BUCKETS = 50
+#: Bounds the memory for the state of accounts.
+_MAX_ACCOUNTS = 100_000
 
 
 class Grant(NamedTuple):
-    """Tokens that were issued.
+    """Reply of an issuer to a request for tokens.
 
     Parameters
     ==========
 
     tokens : int
-        How many; fewer than asked for if the limit is reached.
+        Number of tokens issued; less than requested if the limit is reached.
     wait : float
-        Seconds until there are tokens again; 0 while there are some.
+        Seconds until tokens are available again; 0 if all were issued.
     """
 
     tokens: int
     wait: float
 
 
-class _Account:
-    __slots__ = ("askers", "bucket", "counted", "last_asked", "primary_since", "since")
+class _AccountState:
+    __slots__ = (
+        "requesters",
+        "bucket",
+        "counted",
+        "last_requested",
+        "primary_since",
+        "since",
+    )
 
     def __init__(
         self, clock: Clock, window: float, level: float, primary_since: float | None
     ) -> None:
         self.bucket = TokenBucket(clock, level, primary_since)
-        #: Tokens issued and refused.  The part that has just begun comes on top of a
-        #: whole window.
-        self.counted = WindowedCount(clock, window * (1 + 1 / _PARTS), _PARTS + 1)
-        self.askers: dict[str, float] = {}
+        #: Tokens issued and refused in the sliding window, which is one bucket longer
+        #: than the quota's window, as its newest bucket is incomplete.
+        self.counted = WindowedCount(
+            clock, window * (1 + 1 / _WINDOW_BUCKETS), _WINDOW_BUCKETS + 1
+        )
+        self.requesters: dict[str, float] = {}
         self.primary_since = primary_since
-        self.last_asked = clock.now()
-        #: Since when nobody else can have issued any.
-        self.since = self.last_asked if primary_since is None else primary_since
+        self.last_requested = clock.now()
+        #: Time since which no other node can have issued tokens of the account.
+        self.since = self.last_requested if primary_since is None else primary_since
 
 
 class TokenIssuer:
-    """Issues the tokens of the accounts that fall to this node.
+    """Issues tokens of client accounts to the nodes that request them.
 
     Explanation
     ===========
 
-    Each node has a right to an equal part of each limit, and lends it to the issuer
-    that it asks; so the sum of what all issuers issue stays within the limit whoever
-    asks whom.  A node that has long been first in order for an account, in its own
-    view, issues for all nodes that it sees.  One that has just become so counts the
-    nodes that ask it, and any other has a few tokens only: enough for the requests of
-    a small account until the views of all nodes agree on who has failed.
+    Every node orders the issuers of an account by the same hash; the first is the
+    primary.  Each node is entitled to an equal part of the limit, which it passes on to
+    the issuer that it asks.  So the tokens of all issuers together stay within the
+    limit even while the membership views of the nodes differ:
 
-    The limit is on each window; a burst may come at any moment of it.  So a window of
-    what was issued stands beside the bucket, which alone would refuse a steady load
-    that no window shows to be too much.
+    - A node that has long been primary, in its own view, issues for all nodes that it
+      sees.
+    - A node that has just become primary issues for the nodes that have sent it
+      requests.
+    - Any other node issues only a few initial tokens, enough for a small account until
+      all nodes agree on the new primary.
+
+    The limit holds for each window, in which a burst may come at any time.  A bucket
+    that alone enforced it would refuse a steady load that exceeds the limit in no
+    window.  Issued tokens are therefore also counted in a sliding window, and the
+    bucket is refilled at a higher rate.
 
     Parameters
     ==========
@@ -84,17 +101,18 @@
     clock : Clock
         Source of the current time.
     bound : QuotaBound
-        By how much limits may be exceeded.
+        Limits of accounts, and by how much they may be exceeded.
     is_primary : callable
-        Whether this node is first in order for an account, by name.
+        Returns whether this node is the primary issuer of an account, by name.
     predecessor_uncertain : callable
-        Whether a node before it in that order may still be issuing, unseen.
+        Returns whether a failed node that precedes this one in the account's order
+        may be partitioned and still issue tokens.
     visible_nodes : callable
-        Returns how many nodes this node sees.
+        Returns the number of nodes that are alive in this node's view.
     fleet_size : callable
-        Returns how many nodes it has lately seen at most.
+        Returns the largest recent number of visible nodes.
     order_changed_at : callable
-        Returns when the order of nodes changed last, for any account.
+        Returns when the set of issuers last changed, in seconds of the clock.
 
     Examples
     ========
@@ -128,31 +146,32 @@
         self._clock = clock
         self._bound = bound
         self._is_primary = is_primary
-        self._in_doubt = predecessor_uncertain
-        self._present = visible_nodes
-        self._fleet = fleet_size
-        self._settled_at = order_changed_at
-        self._accounts: dict[str, _Account] = {}
-        #: Smallest part of the fleet seen lately, and when.
-        self._lowest_part = (1.0, clock.now())
+        self._predecessor_uncertain = predecessor_uncertain
+        self._visible_nodes = visible_nodes
+        self._fleet_size = fleet_size
+        self._order_changed_at = order_changed_at
+        self._accounts: dict[str, _AccountState] = {}
+        #: Smallest fraction of the fleet visible during the last window, and when.
+        self._lowest_fraction = (1.0, clock.now())
 
     def __len__(self) -> int:
         return len(self._accounts)
 
-    def issue(self, account: ClientAccount, count: int, asker: str) -> Grant | None:
-        """Issue up to so many tokens of an account to a node.
+    def issue(self, account: ClientAccount, count: int, requester: str) -> Grant | None:
+        """Issue up to ``count`` tokens of an account to a node.
 
-        None if there are none and another issuer knows whether the limit is reached.
+        Returns None if this node is not the primary and has no tokens: only the
+        primary can tell whether the limit is reached.
         """
         now = self._clock.now()
         state = self._state(account)
-        state.last_asked = now
-        state.askers[asker] = now
+        state.last_requested = now
+        state.requesters[requester] = now
         rate = self._rate(account, state, now)
         state.bucket.refill(rate, self._bound.bucket_depth(account))
         issued, _ = state.counted.totals()
-        most = self._bound.issue_limit(account) * self._part
-        left = max(0, int(most - issued))
+        max_issued = self._bound.issue_limit(account) * self._visible_fraction
+        left = max(0, int(max_issued - issued))
         tokens = state.bucket.take(min(count, left))
         state.counted.add(tokens, count - tokens)
         if state.primary_since is None:
@@ -162,63 +181,70 @@
         return Grant(tokens, 1 / max(rate, account.rate / 10))
 
     def drop_idle_accounts(self) -> None:
-        """Forget accounts that nobody asks for; call once a second or so."""
+        """Drop the state of unused accounts; has to be called about once a second."""
         now = self._clock.now()
         for name, state in list(self._accounts.items()):
-            if now - state.last_asked > _IDLE:
+            if now - state.last_requested > _IDLE_TIMEOUT_SECONDS:
                 del self._accounts[name]
             else:
-                self._drop_old_askers(state, now)
-                self._note_place(name, state, now)
+                self._drop_old_requesters(state, now)
+                self._update_primary(name, state, now)
 
-    def _state(self, account: ClientAccount) -> _Account:
+    def _state(self, account: ClientAccount) -> _AccountState:
         state = self._accounts.get(account.name)
         if state is None:
-            if len(self._accounts) >= _MOST_ACCOUNTS:
+            if len(self._accounts) >= _MAX_ACCOUNTS:
                 self._accounts.pop(next(iter(self._accounts)))
-            level = self._bound.initial_level(account) * self._part
+            level = self._bound.initial_level(account) * self._visible_fraction
             primary = self._is_primary(account.name)
-            since = self._settled_at() if primary else None
-            state = _Account(self._clock, self._bound.window, level, since)
+            since = self._order_changed_at() if primary else None
+            state = _AccountState(self._clock, self._bound.window, level, since)
             self._accounts[account.name] = state
         return state
 
     @property
-    def _part(self) -> float:
-        """Part of the fleet that this node sees, and has seen for a window.
+    def _visible_fraction(self) -> float:
+        """Smallest fraction of the fleet that was visible during the last window.
 
-        When a partition has healed, what the other side has issued is not known.
+        After a partition has healed, what the other side issued in the window is not
+        known, so the fraction rises only after a window.
         """
         now = self._clock.now()
-        part = min(1.0, self._present() / max(1, self._fleet()))
-        lowest, seen_at = self._lowest_part
-        if part <= lowest or now - seen_at > self._bound.window:
-            self._lowest_part = (part, now)
-        return self._lowest_part[0]
-
-    def _rate(self, account: ClientAccount, state: _Account, now: float) -> float:
-        """Return the tokens a second that this node may issue."""
+        fraction = min(1.0, self._visible_nodes() / max(1, self._fleet_size()))
+        lowest, seen_at = self._lowest_fraction
+        if fraction <= lowest or now - seen_at > self._bound.window:
+            self._lowest_fraction = (fraction, now)
+        return self._lowest_fraction[0]
+
+    def _rate(self, account: ClientAccount, state: _AccountState, now: float) -> float:
+        """Return the tokens per second that this node may issue."""
         name = account.name
-        self._note_place(name, state, now)
+        self._update_primary(name, state, now)
         if state.primary_since is None:
             return 0.0
-        handover = _DOUBTFUL_HANDOVER if self._in_doubt(name) else _HANDOVER
+        handover = (
+            _UNCERTAIN_HANDOVER_SECONDS
+            if self._predecessor_uncertain(name)
+            else _HANDOVER_SECONDS
+        )
         if now - state.primary_since < handover:
-            self._drop_old_askers(state, now)
-            part = min(1.0, len(state.askers) / max(1, self._fleet()))
-            return _ASKED_PART * account.rate * part
-        part = self._part
+            self._drop_old_requesters(state, now)
+            fraction = min(1.0, len(state.requesters) / max(1, self._fleet_size()))
+            return _HANDOVER_FRACTION * account.rate * fraction
+        fraction = self._visible_fraction
         if now - state.since < self._bound.window:
-            return _COLD_PART * account.rate * part
-        return self._bound.sustained_rate(account) * part
+            return _FIRST_WINDOW_FRACTION * account.rate * fraction
+        return self._bound.sustained_rate(account) * fraction
 
-    def _note_place(self, name: str, state: _Account, now: float) -> None:
+    def _update_primary(self, name: str, state: _AccountState, now: float) -> None:
         if not self._is_primary(name):
             state.primary_since = None
         elif state.primary_since is None:
             state.primary_since = now
 
-    def _drop_old_askers(self, state: _Account, now: float) -> None:
-        oldest = now - _ASKER_KEPT_FOR
-        if state.askers and min(state.askers.values()) < oldest:
-            state.askers = {n: at for n, at in state.askers.items() if at >= oldest}
+    def _drop_old_requesters(self, state: _AccountState, now: float) -> None:
+        oldest = now - _REQUESTER_TIMEOUT_SECONDS
+        if state.requesters and min(state.requesters.values()) < oldest:
+            state.requesters = {
+                n: at for n, at in state.requesters.items() if at >= oldest
+            }
--- a/packages/rattanfork-core/rattanfork_core/quota/leases.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/leases.py
@@ -1,4 +1,4 @@
-"""Tokens that a node has leased from the issuers of accounts."""
+"""Quota tokens that a node leases from the issuers of accounts."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -10,45 +10,46 @@
 from rattanfork_core.quota.bound import QuotaBound
 from rattanfork_core.quota.quota import DecisionCallback, Quota, QuotaDecision
 
-#: Seconds without a reply after which another request is sent, and places of the
-#: issuers that are asked by turns before those that wait are refused: a lost datagram
-#: is more common than a failed issuer.
-_REPLY_TIMEOUT = 0.08
-_TURNS = (0, 0, 1, 0, 1, 0)
-#: Seconds after its request until which a reply lets in what has waited for it, though
-#: its tokens may not be kept any more.
-_LATEST_REPLY = 0.5
-#: Longest time, in seconds, for which a node refuses by itself what an issuer has just
-#: refused: each such request would cost two messages for the same answer.
-_LONGEST_BLOCK = 0.2
-#: Seconds of the usual demand that is asked for ahead.
-_AHEAD = 0.25
-#: Seconds over which the usual demand is averaged.
-_DEMAND_TIME = 2.0
-#: Most tokens in one request.
-_MOST_TOKENS = 1000
-#: Requests of one account that may wait for tokens.
-_MOST_WAITING = 512
-#: Seconds after which a caller comes back to a node that reaches no issuer.
-_UNREACHABLE_RETRY = 0.5
-#: Seconds over which returns to an exhausted account are spread, at least.
-_RETURN_SPREAD = 1.0
-#: Seconds without a request after which the state of an account is dropped.
-_IDLE = 30.0
+#: Time without a reply after which a token request is sent again.
+_REPLY_TIMEOUT_SECONDS = 0.08
+#: Issuers asked in turn, by their position in the account's order, before the requests
+#: that wait are refused.  The first one dominates, as lost datagrams are more common
+#: than failed issuers.
+_ISSUER_TURNS = (0, 0, 1, 0, 1, 0)
+#: Age of a token request up to which its reply still admits waiting requests, even if
+#: its tokens have expired and may not be kept.
+_MAX_REPLY_SECONDS = 0.5
+#: Longest time for which a node refuses requests itself after an issuer has refused
+#: one; asking again would cost two messages per request for the same reply.
+_MAX_BLOCK_SECONDS = 0.2
+#: Tokens are requested in advance for the expected demand of this time.
+_PREFETCH_SECONDS = 0.25
+#: Time constant of the average demand.
+_DEMAND_AVERAGE_SECONDS = 2.0
+#: Most tokens in one token request.
+_MAX_TOKENS_PER_REQUEST = 1000
+#: Most requests of one account that wait for tokens.
+_MAX_WAITING = 512
+#: Shortest ``Retry-After`` if no issuer can be reached.
+_UNREACHABLE_RETRY_SECONDS = 0.5
+#: Range of the jitter that is added to ``Retry-After``.
+_RETRY_JITTER_SECONDS = 1.0
+#: Time without a request after which the state of an account is dropped.
+_IDLE_TIMEOUT_SECONDS = 30.0
 
 
 class TokenRequest(NamedTuple):
-    """Asks an issuer for tokens.
+    """Request for tokens, from a node to an issuer.
 
     Parameters
     ==========
 
     number : int
-        Identifies the request at its sender.
+        Identifies the token request at its sender.
     account : str
         Name of the account.
     count : int
-        Tokens wanted.
+        Number of tokens requested.
     """
 
     number: int
@@ -56,7 +57,7 @@
     count: int
 
 
-class _Asked(NamedTuple):
+class _PendingRequest(NamedTuple):
     account: str
     at: float
 
@@ -64,7 +65,7 @@
 class _Lease:
     __slots__ = (
         "account",
-        "asked",
+        "pending",
         "blocked_until",
         "demand",
         "expires",
@@ -79,25 +80,27 @@
         self.tokens = 0
         self.expires = 0.0
         self.waiting: deque[DecisionCallback] = deque()
-        #: Number of the request that is under way; 0 without one.
-        self.asked = 0
+        #: Number of the pending token request; 0 without one.
+        self.pending = 0
+        #: Times that the pending token request was sent again.
         self.tries = 0
         self.blocked_until = 0.0
-        #: Requests a second, lately.
+        #: Moving average of the requests per second.
         self.demand = 0.0
         self.last_taken = float("-inf")
 
 
 class TokenLeases(Quota):
-    """Leases tokens from one issuer for each account.
+    """Quotas by tokens that this node leases from one issuer per account.
 
     Explanation
     ===========
 
-    The issuers of an account are the same few nodes in the view of all, in an order
-    of their own for each account.  The first is asked; a node that does not answer is
-    passed over, as tokens that are issued twice are void soon.  A node that makes many
-    requests of an account asks ahead, so that most of them wait for nothing.
+    All nodes know the same few issuers of an account, in an order that is particular
+    to it.  Tokens are requested from the first one, and from the next if there is no
+    reply.  A reply that was lost may mean tokens that are issued and never used; as
+    tokens expire soon, this does not accumulate.  A node with many requests of an
+    account requests tokens in advance, so that most requests do not have to wait.
 
     Parameters
     ==========
@@ -105,13 +108,13 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Spreads the returns of refused callers.
+        Source of the jitter of ``Retry-After``.
     bound : QuotaBound
-        By how much limits may be exceeded.
+        Limits of accounts, and by how much they may be exceeded.
     issuers : callable
-        Returns the issuers of an account, by name, in order.
+        Returns the issuers of an account, by its name, in order.
     send : callable
-        Sends a request to an issuer.
+        Sends a token request to an issuer.
 
     Examples
     ========
@@ -151,14 +154,14 @@
         self._issuers = issuers
         self._send = send
         self._leases: dict[str, _Lease] = {}
-        self._asked: dict[int, _Asked] = {}
-        self._number = 0
+        self._pending: dict[int, _PendingRequest] = {}
+        self._last_number = 0
 
     def __len__(self) -> int:
         return len(self._leases)
 
     def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
-        """Use a token, or ask for one."""
+        """Decide with a leased token, or when the reply to a token request arrives."""
         if not account.limited:
             decided(QuotaDecision.GRANTED, 0.0)
             return
@@ -167,95 +170,111 @@
         if lease is None:
             lease = self._leases[account.name] = _Lease(account)
         lease.account = account
-        self._count(lease, now)
+        self._update_demand(lease, now)
         if lease.tokens and now < lease.expires:
             lease.tokens -= 1
             decided(QuotaDecision.GRANTED, 0.0)
-            if not lease.tokens and not lease.asked and self._ahead(lease):
-                self._ask(lease, now)
-        elif now < lease.blocked_until or len(lease.waiting) >= _MOST_WAITING:
+            if not lease.tokens and not lease.pending and self._prefetch_count(lease):
+                self._send_request(lease, now)
+        elif now < lease.blocked_until or len(lease.waiting) >= _MAX_WAITING:
             decided(
-                QuotaDecision.EXHAUSTED, self._return_after(lease.blocked_until - now)
+                QuotaDecision.EXHAUSTED, self._retry_after(lease.blocked_until - now)
             )
         else:
             lease.waiting.append(decided)
-            if not lease.asked:
-                self._ask(lease, now)
+            if not lease.pending:
+                self._send_request(lease, now)
 
     def refund(self, account: ClientAccount, granted_at: float) -> None:
-        """Let another request use a token, if it is not void yet."""
+        """Put a token back for other requests, unless it has expired."""
         lease = self._leases.get(account.name)
         if lease is not None and account.limited:
             expires = granted_at + self._bound.lease_time(account)
-            self._add(lease, 1, expires, self._clock.now())
+            self._add_tokens(lease, 1, expires, self._clock.now())
 
     def on_reply(self, number: int, tokens: int, wait: float) -> None:
-        """Take in what an issuer has granted.
+        """Handle the reply of an issuer.
 
         Parameters
         ==========
 
         number : int
-            Number of the request.
+            Number of the token request.
         tokens : int
-            Tokens that were issued.
+            Number of tokens issued.
         wait : float
-            Seconds until there are more; 0 if all were issued that were asked for.
+            Seconds until more are available; 0 if all requested tokens were issued.
         """
-        asked = self._asked.pop(number, None)
-        lease = None if asked is None else self._leases.get(asked.account)
+        pending = self._pending.pop(number, None)
+        lease = None if pending is None else self._leases.get(pending.account)
         if lease is None:
             return
         now = self._clock.now()
-        if number == lease.asked:
-            lease.asked = lease.tries = 0
-        left = tokens if now - asked.at < _LATEST_REPLY else 0
-        while left and lease.waiting:
-            left -= 1
+        if number == lease.pending:
+            lease.pending = lease.tries = 0
+        remaining = tokens if now - pending.at < _MAX_REPLY_SECONDS else 0
+        while remaining and lease.waiting:
+            remaining -= 1
             lease.waiting.popleft()(QuotaDecision.GRANTED, 0.0)
-        self._add(lease, left, asked.at + self._bound.lease_time(lease.account), now)
+        self._add_tokens(
+            lease,
+            remaining,
+            pending.at + self._bound.lease_time(lease.account),
+            now,
+        )
         if wait > 0:
-            lease.blocked_until = now + min(wait, _LONGEST_BLOCK)
-            self._refuse(lease, QuotaDecision.EXHAUSTED, wait)
-        elif lease.waiting and not lease.asked:
-            self._ask(lease, now)
+            lease.blocked_until = now + min(wait, _MAX_BLOCK_SECONDS)
+            self._refuse_waiting(lease, QuotaDecision.EXHAUSTED, wait)
+        elif lease.waiting and not lease.pending:
+            self._send_request(lease, now)
 
     def tick(self) -> None:
-        """Ask again where no reply came; call ten times a second."""
+        """Repeat requests that time out; has to be called ten times a second."""
         now = self._clock.now()
         for name, lease in list(self._leases.items()):
-            if lease.asked:
-                asked = self._asked.get(lease.asked)
-                if asked is None or now - asked.at >= _REPLY_TIMEOUT:
-                    self._ask_again(lease, now)
-            elif now - lease.last_taken > _IDLE:
+            if lease.pending:
+                pending = self._pending.get(lease.pending)
+                if pending is None or now - pending.at >= _REPLY_TIMEOUT_SECONDS:
+                    self._resend_request(lease, now)
+            elif now - lease.last_taken > _IDLE_TIMEOUT_SECONDS:
                 del self._leases[name]
-        oldest = now - _IDLE
-        for number in [n for n, asked in self._asked.items() if asked.at < oldest]:
-            del self._asked[number]
+        oldest = now - _IDLE_TIMEOUT_SECONDS
+        for number in [
+            n for n, pending in self._pending.items() if pending.at < oldest
+        ]:
+            del self._pending[number]
 
-    def _ask(self, lease: _Lease, now: float) -> None:
+    def _send_request(self, lease: _Lease, now: float) -> None:
         issuers = self._issuers(lease.account.name)
         if not issuers:
-            lease.asked = lease.tries = 0
-            self._refuse(lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY)
+            lease.pending = lease.tries = 0
+            self._refuse_waiting(
+                lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY_SECONDS
+            )
             return
-        self._number += 1
-        lease.asked = self._number
-        count = min(_MOST_TOKENS, max(1, len(lease.waiting) + self._ahead(lease)))
-        self._asked[self._number] = _Asked(lease.account.name, now)
-        issuer = issuers[_TURNS[lease.tries] % len(issuers)]
-        self._send(issuer, TokenRequest(self._number, lease.account.name, count))
-
-    def _ask_again(self, lease: _Lease, now: float) -> None:
+        self._last_number += 1
+        lease.pending = self._last_number
+        count = min(
+            _MAX_TOKENS_PER_REQUEST,
+            max(1, len(lease.waiting) + self._prefetch_count(lease)),
+        )
+        self._pending[self._last_number] = _PendingRequest(lease.account.name, now)
+        issuer = issuers[_ISSUER_TURNS[lease.tries] % len(issuers)]
+        self._send(issuer, TokenRequest(self._last_number, lease.account.name, count))
+
+    def _resend_request(self, lease: _Lease, now: float) -> None:
         lease.tries += 1
-        if lease.tries < len(_TURNS) and lease.waiting:
-            self._ask(lease, now)
+        if lease.tries < len(_ISSUER_TURNS) and lease.waiting:
+            self._send_request(lease, now)
             return
-        lease.asked = lease.tries = 0
-        self._refuse(lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY)
+        lease.pending = lease.tries = 0
+        self._refuse_waiting(
+            lease, QuotaDecision.UNREACHABLE, _UNREACHABLE_RETRY_SECONDS
+        )
 
-    def _add(self, lease: _Lease, tokens: int, expires: float, now: float) -> None:
+    def _add_tokens(
+        self, lease: _Lease, tokens: int, expires: float, now: float
+    ) -> None:
         if not tokens or now >= expires:
             return
         if now >= lease.expires:
@@ -263,21 +282,23 @@
         lease.expires = min(lease.expires, expires) if lease.tokens else expires
         lease.tokens += tokens
 
-    def _refuse(self, lease: _Lease, verdict: QuotaDecision, wait: float) -> None:
+    def _refuse_waiting(
+        self, lease: _Lease, verdict: QuotaDecision, wait: float
+    ) -> None:
         waiting, lease.waiting = lease.waiting, deque()
         for decided in waiting:
-            decided(verdict, self._return_after(wait))
+            decided(verdict, self._retry_after(wait))
 
-    def _return_after(self, wait: float) -> float:
-        return max(0.0, wait) + self._random.uniform(0.2, 1.0) * _RETURN_SPREAD
+    def _retry_after(self, wait: float) -> float:
+        return max(0.0, wait) + self._random.uniform(0.2, 1.0) * _RETRY_JITTER_SECONDS
 
-    def _ahead(self, lease: _Lease) -> int:
-        """Return the tokens that will be wanted before the next reply."""
-        seconds = min(_AHEAD, self._bound.lease_time(lease.account) / 2)
+    def _prefetch_count(self, lease: _Lease) -> int:
+        """Return the number of tokens to request in advance."""
+        seconds = min(_PREFETCH_SECONDS, self._bound.lease_time(lease.account) / 2)
         return int(lease.demand * seconds)
 
-    def _count(self, lease: _Lease, now: float) -> None:
-        passed = now - lease.last_taken
-        lease.demand *= max(0.0, 1 - passed / _DEMAND_TIME)
-        lease.demand += 1 / _DEMAND_TIME
+    def _update_demand(self, lease: _Lease, now: float) -> None:
+        elapsed = now - lease.last_taken
+        lease.demand *= max(0.0, 1 - elapsed / _DEMAND_AVERAGE_SECONDS)
+        lease.demand += 1 / _DEMAND_AVERAGE_SECONDS
         lease.last_taken = now
--- a/packages/rattanfork-core/rattanfork_core/quota/quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/quota.py
@@ -1,4 +1,4 @@
-"""The interface of quotas."""
+"""Interface of quotas, which decide on requests before they are forwarded."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,30 +8,30 @@
 
 
 class QuotaDecision(Enum):
-    """What a quota says to a request."""
+    """Decision of a quota on a request."""
 
-    #: It is within the limit.
+    #: The request is within the account's limit.
     GRANTED = "granted"
     #: The account's limit is reached.
     EXHAUSTED = "exhausted"
-    #: No issuer of tokens was reached.
+    #: No issuer of tokens could be reached.
     UNREACHABLE = "unreachable"
 
 
-#: Gets the verdict, and the seconds after which a refused caller should come back.
+#: Receives the decision, and the seconds after which a refused caller should retry.
 DecisionCallback = Callable[[QuotaDecision, float], None]
 
 
 class Quota(ABC):
-    """Holds the requests of accounts to their limits, over all nodes together."""
+    """Limits the request rates of client accounts, summed over all nodes."""
 
     @abstractmethod
     def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
-        """Ask for one request to be let in; ``decided`` is called once."""
+        """Decide on a request; ``decided`` is called once, immediately or later."""
 
     @abstractmethod
     def refund(self, account: ClientAccount, granted_at: float) -> None:
-        """Take note that a request that was let in has not run and never will.
+        """Return the token of a granted request that did not run and never will.
 
         Parameters
         ==========
@@ -39,9 +39,9 @@
         account : ClientAccount
             The account.
         granted_at : float
-            When the request was let in, in seconds of the clock.
+            When the request was granted, in seconds of the clock.
         """
 
     @abstractmethod
     def tick(self) -> None:
-        """Carry on; call several times a second."""
+        """Handle timeouts; has to be called several times a second."""
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that ask each other for tokens, on a clock of their own."""
+"""Simulated fleet whose nodes lease quota tokens from each other."""
 
 from collections import deque
 from collections.abc import Callable
@@ -20,29 +20,31 @@
     WindowedMaximum,
 )
 
-#: Seconds between nodes, between two ticks, and until a failure is known to all.
+#: One-way delay of a datagram, in seconds.
 DELAY = 0.002
+#: Interval of the nodes' ticks, in seconds.
 TICK = 0.1
+#: Time until the views of all nodes reflect a failure or partition, in seconds.
 DETECTED_AFTER = 1.5
 
 
 class Node:
-    """One node: its view of the others, its issuer and its leases."""
+    """A node: its view of the members, its issuer and its leases."""
 
     def __init__(self, fleet: "Fleet", name: int) -> None:
         self.fleet, self.name = fleet, name
         self.alive = set(range(fleet.size))
-        self.doubtful: set[int] = set()
-        self.settled_at = fleet.clock.now()
-        self.largest = WindowedMaximum(fleet.clock, 30.0, fleet.size)
+        self.failed: set[int] = set()
+        self.order_changed_at = fleet.clock.now()
+        self.fleet_size = WindowedMaximum(fleet.clock, 30.0, fleet.size)
         self.issuer = TokenIssuer(
             fleet.clock,
             fleet.bound,
             lambda account: self.order(account)[0] == self.name,
-            self.in_doubt,
+            self.predecessor_uncertain,
             lambda: len(self.alive),
-            lambda: self.largest.value,
-            lambda: self.settled_at,
+            lambda: self.fleet_size.value,
+            lambda: self.order_changed_at,
         )
         self.leases = TokenLeases(
             fleet.clock,
@@ -55,29 +57,29 @@
     def order(self, account: str) -> list[int]:
         return sorted(self.alive, key=lambda n: hash64(f"{account}|{n}"))
 
-    def in_doubt(self, account: str) -> bool:
+    def predecessor_uncertain(self, account: str) -> bool:
         mine = hash64(f"{account}|{self.name}")
-        return any(hash64(f"{account}|{n}") < mine for n in self.doubtful)
+        return any(hash64(f"{account}|{n}") < mine for n in self.failed)
 
-    def see(self, alive: set[int]) -> None:
-        self.doubtful = (self.doubtful | (self.alive - alive)) - alive
+    def set_view(self, alive: set[int]) -> None:
+        self.failed = (self.failed | (self.alive - alive)) - alive
         if alive != self.alive:
-            self.settled_at = self.fleet.clock.now()
+            self.order_changed_at = self.fleet.clock.now()
         self.alive = alive | {self.name}
-        self.largest.update(len(self.alive))
+        self.fleet_size.update(len(self.alive))
 
 
 class Fleet:
-    """A fleet, its network, and what was let in of one account."""
+    """A fleet, its network, and the decisions on the requests of one account."""
 
     def __init__(self, size: int, account: ClientAccount) -> None:
         self.size, self.account, self.bound = size, account, QuotaBound()
         self.clock = ManualClock(1000.0)
         self.random = Random(1)
         self.loss = 0.0
-        self.up = set(range(size))
-        #: Nodes that reach each other, by the number of their part.
-        self.part = dict.fromkeys(range(size), 0)
+        self.running = set(range(size))
+        #: Partition of each node; only nodes of the same partition reach each other.
+        self.partition = dict.fromkeys(range(size), 0)
         self.nodes = [Node(self, name) for name in range(size)]
         self.messages = 0
         self.granted: list[float] = []
@@ -125,60 +127,60 @@
         self.clock.advance(max(0.0, end - self.clock.now()))
 
     def demand(self, rate: float, seconds: float, nodes: list[int] | None = None):
-        """Let requests come at random moments, at random nodes."""
-        places = nodes if nodes is not None else list(range(self.size))
+        """Schedule Poisson arrivals at random nodes, ``rate`` per second."""
+        names = nodes if nodes is not None else list(range(self.size))
         at = self.random.expovariate(rate)
         while at < seconds:
-            place = self.random.choice(places)
-            self.at(at, lambda place=place: self.ask(place))
+            name = self.random.choice(names)
+            self.at(at, lambda name=name: self.ask(name))
             at += self.random.expovariate(rate)
 
-    def ask(self, place: int) -> None:
-        if place in self.up:
-            quota: Quota = self.quota(place)
+    def ask(self, name: int) -> None:
+        if name in self.running:
+            quota: Quota = self.quota(name)
             quota.take(self.account, self._decided)
 
-    def quota(self, place: int) -> Quota:
-        return self.nodes[place].leases
+    def quota(self, name: int) -> Quota:
+        return self.nodes[name].leases
 
-    def split(self, *parts: set[int]) -> None:
-        """Partition the fleet; each side learns it after a while."""
-        for number, part in enumerate(parts):
-            self.part.update(dict.fromkeys(part, number))
-        self._tell_views()
+    def split(self, *partitions: set[int]) -> None:
+        """Partition the fleet; views change after :data:`DETECTED_AFTER`."""
+        for number, partition in enumerate(partitions):
+            self.partition.update(dict.fromkeys(partition, number))
+        self._update_views()
 
     def kill(self, names: set[int], back_after: float) -> None:
-        """End nodes; each starts again with nothing."""
-        self.up -= names
-        self._tell_views()
+        """Kill nodes, and restart them without state after ``back_after`` seconds."""
+        self.running -= names
+        self._update_views()
 
         def restart() -> None:
             for name in names:
                 self.nodes[name] = Node(self, name)
                 self._tick(self.nodes[name])
-            self.up |= names
-            self._tell_views()
+            self.running |= names
+            self._update_views()
 
         self.at(back_after, restart)
 
     def most_in_window(self) -> int:
-        """Return the most requests that were let in within one window."""
+        """Return the largest number of requests granted within one window."""
         window: deque[float] = deque()
-        most = 0
+        largest = 0
         for at in sorted(self.granted):
             window.append(at)
             while window[0] <= at - self.bound.window:
                 window.popleft()
-            most = max(most, len(window))
-        return most
+            largest = max(largest, len(window))
+        return largest
 
     def _decided(self, verdict: QuotaDecision, after: float) -> None:
-        into = {
+        times = {
             QuotaDecision.GRANTED: self.granted,
             QuotaDecision.EXHAUSTED: self.refused,
             QuotaDecision.UNREACHABLE: self.unreachable,
         }
-        into[verdict].append(self.clock.now())
+        times[verdict].append(self.clock.now())
 
     def _reply(self, sender: Node, number: int, grant) -> None:
         if self.nodes[sender.name] is sender:
@@ -187,17 +189,24 @@
     def _reaches(self, one: int, other: int) -> bool:
         if one == other:
             return True
-        if not {one, other} <= self.up or self.part[one] != self.part[other]:
+        if (
+            not {one, other} <= self.running
+            or self.partition[one] != self.partition[other]
+        ):
             return False
         return self.random.random() >= self.loss
 
-    def _tell_views(self) -> None:
-        def see() -> None:
+    def _update_views(self) -> None:
+        def set_view() -> None:
             for node in self.nodes:
-                same = {n for n in self.up if self.part[n] == self.part[node.name]}
-                node.see(same)
+                reachable = {
+                    n
+                    for n in self.running
+                    if self.partition[n] == self.partition[node.name]
+                }
+                node.set_view(reachable)
 
-        self.at(DETECTED_AFTER, see)
+        self.at(DETECTED_AFTER, set_view)
 
     def _tick(self, node: Node) -> None:
         if self.nodes[node.name] is node:
@@ -206,11 +215,11 @@
 
 
 class EqualFleet(Fleet):
-    """A fleet whose nodes have equal parts."""
+    """A fleet whose nodes split each limit equally."""
 
     def __init__(self, size: int, account: ClientAccount) -> None:
         super().__init__(size, account)
-        self._shares = [EqualSplitQuota(self.clock, lambda: size) for _ in range(size)]
+        self._quotas = [EqualSplitQuota(self.clock, lambda: size) for _ in range(size)]
 
-    def quota(self, place: int) -> Quota:
-        return self._shares[place]
+    def quota(self, name: int) -> Quota:
+        return self._quotas[name]
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas over a whole fleet: never exceeded, and little refused below the limit."""
+"""Tests of quotas over a fleet: the bound holds, and few refusals below the limit."""
 
 from random import Random
 
@@ -17,34 +17,34 @@
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
-def test_account_below_its_limit_is_hardly_ever_refused(account):
-    """Guards against shares that one node has left and another lacks."""
+def test_at_most_one_in_1000_requests_below_the_limit_is_refused(account):
+    """Guards against tokens that one node has unused while another lacks them."""
     fleet = Fleet(58, account)
     fleet.run(6.0)
     fleet.demand(0.9 * account.rate, 100.0)
     fleet.run(101.0)
-    lost = len(fleet.refused) + len(fleet.unreachable)
-    assert lost <= 0.001 * len(fleet.granted)
+    not_granted = len(fleet.refused) + len(fleet.unreachable)
+    assert not_granted <= 0.001 * len(fleet.granted)
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
-def test_equal_shares_refuse_what_leases_let_in(account):
-    """Shows why an equal part for each node does not do for scattered requests."""
-    lost = []
+def test_leases_refuse_fewer_requests_than_equal_split(account):
+    """Shows why an equal split is not enough for requests at random nodes."""
+    not_granted = []
     for kind in (EqualFleet, Fleet):
         fleet = kind(30, account)
         fleet.run(6.0)
         fleet.demand(0.9 * account.rate, 20.0)
         fleet.run(21.0)
         assert fleet.most_in_window() <= BOUND.max_requests(account)
-        lost.append(len(fleet.refused) + len(fleet.unreachable))
-    equal, leased = lost
+        not_granted.append(len(fleet.refused) + len(fleet.unreachable))
+    equal, leased = not_granted
     assert leased < equal
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
-def test_hot_account_gets_its_limit_and_no_more(account):
-    """Guards against a sum over many nodes that no single one sees."""
+def test_overloading_account_gets_its_limit_and_no_more(account):
+    """Guards against a total over all nodes that exceeds the limit unnoticed."""
     fleet = Fleet(30, account)
     fleet.run(6.0)
     fleet.demand(5 * account.rate, 20.0)
@@ -53,54 +53,54 @@
     assert len(fleet.granted) >= 0.9 * account.rate * 20
 
 
-def test_burst_after_a_quiet_time_is_let_in_at_once():
-    """Guards against an issuer that starts empty for the first who ask."""
+def test_burst_after_idle_time_is_granted_immediately():
+    """Guards against an issuer whose bucket is empty when an account first arrives."""
     fleet = Fleet(30, LARGE)
     fleet.run(6.0)
-    for place in range(30):
+    for name in range(30):
         for _ in range(3):
-            fleet.ask(place)
+            fleet.ask(name)
     fleet.run(1.0)
     assert len(fleet.granted) == 90
 
 
-def test_requests_that_move_to_other_nodes_are_let_in():
-    """Guards against tokens that stay where the requests have been."""
+def test_requests_that_move_to_other_nodes_are_granted():
+    """Guards against tokens that stay at the nodes where requests arrived before."""
     fleet = Fleet(30, MIDDLE)
     fleet.run(6.0)
     fleet.demand(18.0, 10.0, nodes=list(range(10)))
     fleet.run(10.0)
     fleet.demand(18.0, 10.0, nodes=list(range(20, 30)))
     fleet.run(11.0)
-    lost = len(fleet.refused) + len(fleet.unreachable)
-    assert lost <= 0.02 * len(fleet.granted)
+    not_granted = len(fleet.refused) + len(fleet.unreachable)
+    assert not_granted <= 0.02 * len(fleet.granted)
 
 
-def test_lost_datagrams_refuse_little():
+def test_few_requests_are_refused_with_lost_datagrams():
     fleet = Fleet(30, MIDDLE)
     fleet.run(6.0)
     fleet.loss = 0.2
     fleet.demand(12.0, 30.0)
     fleet.run(31.0)
-    lost = len(fleet.refused) + len(fleet.unreachable)
-    assert lost <= 0.02 * len(fleet.granted)
+    not_granted = len(fleet.refused) + len(fleet.unreachable)
+    assert not_granted <= 0.02 * len(fleet.granted)
     assert fleet.most_in_window() <= BOUND.max_requests(MIDDLE)
 
 
-def test_account_is_served_again_soon_after_its_issuer_has_failed():
-    """Guards against an account that nobody issues tokens for."""
+def test_account_recovers_soon_after_its_primary_issuer_fails():
+    """Guards against an account without any issuer of its tokens."""
     fleet = Fleet(30, MIDDLE)
     fleet.run(6.0)
     fleet.demand(12.0, 20.0)
     fleet.at(5.0, lambda: fleet.kill({fleet.nodes[0].order("middle")[0]}, 60.0))
     fleet.run(21.0)
-    lost = len(fleet.refused) + len(fleet.unreachable)
-    assert lost <= 0.1 * len(fleet.granted)
+    not_granted = len(fleet.refused) + len(fleet.unreachable)
+    assert not_granted <= 0.1 * len(fleet.granted)
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
-def test_restart_of_all_nodes_doubles_no_quota(account):
-    """Guards against issuers that forget what they have issued."""
+def test_bound_holds_when_all_nodes_restart(account):
+    """Guards against issuers that restart and issue the same window's tokens again."""
     fleet = Fleet(30, account)
     fleet.run(6.0)
     fleet.demand(6 * account.rate, 20.0)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
-def test_two_halves_stay_within_the_limit_together(account):
+def test_bound_holds_in_a_partition_into_halves(account):
     """Guards against a second issuer on the other side of a partition."""
     fleet = Fleet(30, account)
     fleet.run(6.0)
@@ -122,8 +122,8 @@
     assert fleet.most_in_window() <= BOUND.max_requests(account)
 
 
-def test_isolated_nodes_let_in_no_more_than_their_part():
-    """Guards against nodes that take themselves for the only one."""
+def test_bound_holds_with_isolated_nodes():
+    """Guards against isolated nodes that issue the whole limit as the only issuer."""
     fleet = Fleet(30, LARGE)
     fleet.run(6.0)
     fleet.demand(6 * LARGE.rate, 20.0)
@@ -145,19 +145,19 @@
 
 @given(_FAULTS, st.sampled_from((SMALL, MIDDLE, LARGE)), st.floats(0.5, 6.0))
 @settings(max_examples=40, deadline=None)
-def test_no_window_exceeds_the_bound_whatever_fails(faults, account, load):
+def test_bound_holds_in_every_window_under_random_faults(faults, account, load):
     fleet = Fleet(12, account)
     fleet.run(6.0)
     fleet.demand(load * account.rate, 25.0)
     at = 0.0
     for kind, pause, names in faults:
         at += pause
-        fleet.at(at, lambda kind=kind, names=names: _strike(fleet, kind, names))
+        fleet.at(at, lambda kind=kind, names=names: _inject_fault(fleet, kind, names))
     fleet.run(26.0)
     assert fleet.most_in_window() <= BOUND.max_requests(account)
 
 
-def _strike(fleet: Fleet, kind: str, names: set[int]) -> None:
+def _inject_fault(fleet: Fleet, kind: str, names: set[int]) -> None:
     everyone = set(range(fleet.size))
     if kind == "halves":
         fleet.split({n for n in everyone if n % 2}, {n for n in everyone if not n % 2})
@@ -174,22 +174,22 @@
         fleet.loss = 0.3
 
 
-def test_slow_replies_let_in_what_has_waited_for_them():
-    """Guards against tokens that are always void when they arrive."""
+def test_late_reply_grants_waiting_request_although_its_tokens_expired():
+    """Guards against refusing everything when replies take longer than a lease."""
     clock = ManualClock(100.0)
     sent, verdicts = [], []
     leases = TokenLeases(
         clock, Random(1), BOUND, lambda name: ["n1"], lambda *asked: sent.append(asked)
     )
-    for late, expected in ((0.3, [QuotaDecision.GRANTED]), (0.6, [])):
+    for delay, expected in ((0.3, [QuotaDecision.GRANTED]), (0.6, [])):
         leases.take(LARGE, lambda verdict, after: verdicts.append(verdict))
-        clock.advance(late)
+        clock.advance(delay)
         leases.on_reply(sent[-1][1].number, tokens=1, wait=0.0)
         assert verdicts == expected
         verdicts.clear()
 
 
-def test_lowered_limit_binds_at_once_at_the_issuer():
+def test_issuer_applies_lowered_limit_immediately():
     clock = ManualClock(100.0)
     issuer = TokenIssuer(
         clock,
@@ -212,8 +212,8 @@
     assert issued <= BOUND.max_requests(lowered) * 2
 
 
-def test_state_of_accounts_that_nobody_asks_for_is_dropped():
-    """Guards against memory that grows with every name that ever came."""
+def test_state_of_idle_accounts_is_dropped():
+    """Guards against memory that grows with the number of accounts ever seen."""
     fleet = Fleet(3, SMALL)
     fleet.ask(0)
     fleet.run(1.0)
--- a/packages/rattanfork-core/rattanfork_core/quota/windowed_maximum.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/windowed_maximum.py
@@ -1,4 +1,4 @@
-"""The largest of the latest values."""
+"""Maximum over a sliding time window, such as of the recent number of nodes."""
 
 from collections import deque
 
@@ -6,7 +6,7 @@
 
 
 class WindowedMaximum:
-    """The largest value that a figure has had in the last seconds.
+    """The largest value that a variable had within a sliding time window.
 
     Parameters
     ==========
@@ -14,9 +14,9 @@
     clock : Clock
         Source of the current time.
     window : float
-        Seconds for which a value counts after it has changed.
+        Length of the window, in seconds.
     value : int
-        The figure now.
+        Initial value.
 
     Examples
     ========
@@ -35,26 +35,26 @@
 
     def __init__(self, clock: Clock, window: float, value: int) -> None:
         self._clock = clock
-        self._memory = window
-        #: Falling values, each with the time at which it changed; the last holds on.
+        self._window = window
+        #: Decreasing values, each with the time at which it ended; the last is current.
         self._values: deque[tuple[float, int]] = deque([(clock.now(), value)])
 
     @property
     def value(self) -> int:
-        """The largest value that still counts."""
-        self._drop_old()
+        """The maximum over the window."""
+        self._drop_expired()
         return self._values[0][1]
 
     def update(self, value: int) -> None:
-        """Take note of the figure as it is now."""
+        """Set the current value."""
         now = self._clock.now()
         self._values[-1] = (now, self._values[-1][1])
         while self._values and self._values[-1][1] <= value:
             self._values.pop()
         self._values.append((now, value))
-        self._drop_old()
+        self._drop_expired()
 
-    def _drop_old(self) -> None:
-        oldest = self._clock.now() - self._memory
+    def _drop_expired(self) -> None:
+        oldest = self._clock.now() - self._window
         while len(self._values) > 1 and self._values[0][0] < oldest:
             self._values.popleft()
