--- a/packages/rattanfork-core/rattanfork_core/routes/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes: which service a request is for, and how it may be treated."""
+"""Routes: the service of a request, by host and path, and its default treatment."""
 
 from rattanfork_core.routes.configuration import Configuration, ServiceConfig
 from rattanfork_core.routes.round_robin import WeightedRoundRobin
--- a/packages/rattanfork-core/rattanfork_core/routes/configuration.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration."""
+"""Configuration of routes, services and client accounts, as a node applies it."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """What is configured of a service.
+    """Configuration of a service.
 
     Parameters
     ==========
@@ -17,7 +17,7 @@
     probe_path : str
         Path of the health probe.
     connections : int
-        Connections that each of its upstreams takes.
+        Most connections to each of its upstreams.
     """
 
     probe_path: str = "/health"
@@ -26,23 +26,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of the configuration; a higher version replaces a lower.
+    """A version of the configuration; a higher version replaces a lower one.
 
     Parameters
     ==========
 
     version : int
-        Its place in the order of configurations.
+        Version number.
     routes : tuple of Route
         All routes.
     services : dict
-        What is configured of each service, by name.
+        Configuration of each service, by name.
     max_head_bytes, max_body_bytes : int
-        Most bytes of a request's head and body.
+        Largest size of a request's head and body.
     head_timeout, idle_timeout : float
-        Seconds for a request's head, and between requests.
+        Seconds that a client may take to send a request's head, and stay idle between
+        requests.
     accounts : AccountIndex or None
-        The client accounts; None where requests carry no keys.
+        The client accounts; None if requests carry no API keys.
+    table : RouteTable
+        Index of the routes.
     """
 
     version: int
--- a/packages/rattanfork-core/rattanfork_core/routes/round_robin.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/round_robin.py
@@ -1,4 +1,4 @@
-"""Division of requests by weight."""
+"""Weighted round robin among the services of a route."""
 
 from collections.abc import Iterable
 
@@ -6,14 +6,14 @@
 
 
 class WeightedRoundRobin:
-    """Deals requests to services in exact proportion to their weights.
+    """Distributes requests among services in proportion to their weights.
 
     Explanation
     ===========
 
-    Drawing at random gives each service its share only in the long run; of
-    200 requests a share of 0.1 is often off by a third.  Smooth weighted
-    round robin is never off by more than one request.
+    Smooth weighted round robin keeps each service within a few requests of its exact
+    proportion.  Random selection reaches the proportion only in the long run: of 200
+    requests, a service with 0.1 of the weight often gets a third too many or too few.
 
     Examples
     ========
@@ -25,22 +25,22 @@
     ['a', 'a', 'b', 'a', 'a', 'a', 'b', 'a']
     """
 
-    def __init__(self, shares: Iterable[WeightedService]) -> None:
-        self._shares = [(s.service, s.weight) for s in shares if s.weight > 0]
-        self._total = sum(weight for _, weight in self._shares)
-        self._credit = dict.fromkeys((name for name, _ in self._shares), 0.0)
+    def __init__(self, services: Iterable[WeightedService]) -> None:
+        self._weights = [(s.service, s.weight) for s in services if s.weight > 0]
+        self._total = sum(weight for _, weight in self._weights)
+        self._credit = dict.fromkeys((name for name, _ in self._weights), 0.0)
 
     def next(self) -> str | None:
-        """Return the service of the next request; None if no weight is set."""
-        if not self._shares:
+        """Return the service of the next request; None if all weights are zero."""
+        if not self._weights:
             return None
-        if len(self._shares) == 1:
-            return self._shares[0][0]
+        if len(self._weights) == 1:
+            return self._weights[0][0]
         credit = self._credit
-        best, most = "", float("-inf")
-        for name, weight in self._shares:
+        chosen, max_credit = "", float("-inf")
+        for name, weight in self._weights:
             credit[name] += weight
-            if credit[name] > most:
-                best, most = name, credit[name]
-        credit[best] -= self._total
-        return best
+            if credit[name] > max_credit:
+                chosen, max_credit = name, credit[name]
+        credit[chosen] -= self._total
+        return chosen
--- a/packages/rattanfork-core/rattanfork_core/routes/route.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/route.py
@@ -1,4 +1,4 @@
-"""One route."""
+"""Routes as configured: match, target services and defaults for requests."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service among which a route's requests are divided.
+    """A service that gets a weighted part of a route's requests.
 
     Parameters
     ==========
 
     service : str
-        The service.
+        Name of the service.
     weight : float
-        Its part, relative to the other shares of the route.
+        Its weight relative to the other services of the route.
     """
 
     service: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and how.
+    """Target services and treatment of the requests for a host and path prefix.
 
     Parameters
     ==========
@@ -32,23 +32,23 @@
     name : str
         Identifies the route in its configuration.
     host : str
-        Host that requests name, in lower case.
+        Host of the requests, in lower case.
     prefix : str
-        Beginning of their paths; starts and ends with a slash.
+        Path prefix of the requests; starts and ends with a slash.
     services : tuple of WeightedService
-        The services; one or more.
+        Services among which the requests are divided; one or more.
     idempotent : bool
-        Whether running a request twice does no harm.
+        Whether a request may be run more than once.
     timeout : float
-        Seconds after which the caller must have its answer.
+        Seconds within which the caller has to get its response.
     target_latency : float
-        Seconds within which an answer is of full use.
+        Latency objective of responses, in seconds.
     priority : int
-        Rank among routes; 0 is shed last.
+        Priority among routes; 0 is the highest and shed last.
     most_upstreams : int
-        Most upstreams that one request may be sent to.
+        Maximum number of upstreams that one request is sent to.
     anonymous : bool
-        Whether requests need no key of a client account.
+        Whether requests are accepted without an API key of a client account.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 def importance_of_priority(priority: int) -> int:
-    """Return the importance that a priority stands for.
+    """Return the importance of a configured priority, which is clamped to the range.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/routes/table.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/table.py
@@ -1,11 +1,11 @@
-"""Lookup of routes."""
+"""Lookup of the route of a request, by longest path prefix."""
 
 from collections.abc import Iterable
 
 from rattanfork_core.routes.route import Route
 
-#: Hosts and first path segments whose route is remembered.
-_MOST_REMEMBERED = 4096
+#: Most lookups kept in the cache; it is cleared when full.
+_MAX_CACHED = 4096
 
 
 class RouteTable:
@@ -29,25 +29,25 @@
         for route in routes:
             hosts.setdefault(route.host, {})[route.prefix] = route
         self._hosts = hosts
-        self._remembered: dict[tuple[str, str], Route | None] = {}
+        self._cache: dict[tuple[str, str], Route | None] = {}
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of a request, or None."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
-        # Prefixes end with a slash, so what stands behind the last slash of
-        # the path makes no difference.
-        folder = path[: path.rfind("/") + 1]
-        key = (host, folder)
-        if key in self._remembered:
-            return self._remembered[key]
+        # Prefixes end with a slash, so the part of the path after its last slash
+        # cannot change the result.
+        directory = path[: path.rfind("/") + 1]
+        key = (host, directory)
+        if key in self._cache:
+            return self._cache[key]
         found = None
-        end = len(folder)
+        end = len(directory)
         while end > 0 and found is None:
-            found = prefixes.get(folder[:end])
-            end = folder.rfind("/", 0, end - 1) + 1
-        if len(self._remembered) >= _MOST_REMEMBERED:
-            self._remembered.clear()
-        self._remembered[key] = found
+            found = prefixes.get(directory[:end])
+            end = directory.rfind("/", 0, end - 1) + 1
+        if len(self._cache) >= _MAX_CACHED:
+            self._cache.clear()
+        self._cache[key] = found
         return found
