--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_controller.py
@@ -199,12 +199,12 @@
     assert upstream.admission.waiting <= 60
     upstream.clock.advance(1.0)
     upstream.apply(upstream.admission.tick())
-    waiting, told = upstream.admission.waiting, len(upstream.log)
+    waiting, decided = upstream.admission.waiting, len(upstream.log)
     for _ in range(20):
         upstream.arrive(2.5)
     assert upstream.admission.waiting <= waiting
-    assert [r for r, _ in upstream.log[told:] if r in ("SHED", "TOO_LATE")]
-    assert len(upstream.log) - told >= 20
+    assert [r for r, _ in upstream.log[decided:] if r in ("SHED", "TOO_LATE")]
+    assert len(upstream.log) - decided >= 20
 
 
 def test_pause_of_event_loop_is_not_taken_for_hanging_upstream():
--- a/packages/rattanfork-core/rattanfork_core/admission/threshold.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/threshold.py
@@ -14,7 +14,7 @@
 _QUEUE_TRIM = 0.03
 #: Idle fraction of the slots' time above which the threshold rises.
 _SOME_IDLE = 0.03
-#: Fraction of the idle capacity that such a rise lets in.
+#: Fraction of the idle capacity that such a rise admits.
 _IDLE_GAIN = 0.5
 #: Idle fraction above which the threshold rises by steps that double.
 _MOSTLY_IDLE = 0.5
--- a/packages/rattanfork-core/rattanfork_core/quota/bound.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bound.py
@@ -12,7 +12,7 @@
 _TAKEOVER_FRACTION = 0.2
 #: Most tokens of an issuer that takes an account over; several may do so at once.
 _MAX_INITIAL_TOKENS = 5.0
-#: Bounds of the time for which tokens are leased.
+#: Bounds of the time after which a leased token expires.
 _MIN_LEASE_SECONDS = 0.1
 _MAX_LEASE_SECONDS = 1.0
 
--- a/packages/rattanfork-core/rattanfork_core/quota/bucket.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bucket.py
@@ -53,7 +53,8 @@
         rate : float
             Tokens per second.
         capacity : float
-            Most tokens that the bucket holds; tokens beyond it are dropped.
+            Most tokens that the bucket holds; a refill drops those beyond it.  A rate
+            that has decreased drops none.
         """
         now = self._clock.now()
         self._level = min(capacity, self._level + rate * (now - self._refilled_at))
--- a/packages/rattanfork-core/rattanfork_core/quota/equal_split.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/equal_split.py
@@ -30,18 +30,18 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> verdicts = []
+    >>> decisions = []
     >>> quota = EqualSplitQuota(ManualClock(), lambda: 10)
     >>> account = ClientAccount("clerks", rate=10, burst=10)
     >>> for _ in range(2):
-    ...     quota.take(account, lambda verdict, after: verdicts.append(verdict.value))
-    >>> verdicts
+    ...     quota.take(account, lambda decision, _: decisions.append(decision.value))
+    >>> decisions
     ['granted', 'exhausted']
     """
 
     def __init__(self, clock: Clock, fleet_size: Callable[[], int]) -> None:
         self._clock = clock
-        self._fleet = fleet_size
+        self._fleet_size = fleet_size
         self._buckets: dict[str, TokenBucket] = {}
 
     def take(self, account: ClientAccount, decided: DecisionCallback) -> None:
@@ -49,7 +49,7 @@
         if not account.limited:
             decided(QuotaDecision.GRANTED, 0.0)
             return
-        fraction = 1 / max(1, self._fleet())
+        fraction = 1 / max(1, self._fleet_size())
         capacity = max(1.0, account.burst * fraction)
         bucket = self._buckets.get(account.name)
         if bucket is None:
--- a/packages/rattanfork-core/rattanfork_core/quota/leases.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/leases.py
@@ -32,7 +32,8 @@
 _MAX_WAITING = 512
 #: Shortest ``Retry-After`` if no issuer can be reached.
 _UNREACHABLE_RETRY_SECONDS = 0.5
-#: Range of the jitter that is added to ``Retry-After``.
+#: Largest jitter that is added to ``Retry-After``, so that refused callers do not all
+#: retry at once.
 _RETRY_JITTER_SECONDS = 1.0
 #: Time without a request after which the state of an account is dropped.
 _IDLE_TIMEOUT_SECONDS = 30.0
@@ -82,7 +83,7 @@
         self.waiting: deque[DecisionCallback] = deque()
         #: Number of the pending token request; 0 without one.
         self.pending = 0
-        #: Times that the pending token request was sent again.
+        #: Number of times that the pending token request was sent again.
         self.tries = 0
         self.blocked_until = 0.0
         #: Moving average of the requests per second.
@@ -120,18 +121,18 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> sent, verdicts = [], []
+    >>> sent, decisions = [], []
     >>> leases = TokenLeases(
     ...     ManualClock(), Random(1), QuotaBound(), lambda name: ["n1", "n2"],
     ...     lambda issuer, request: sent.append((issuer, request)),
     ... )
     >>> account = ClientAccount("clerks", rate=10, burst=10)
-    >>> leases.take(account, lambda verdict, after: verdicts.append(verdict.value))
+    >>> leases.take(account, lambda decision, after: decisions.append(decision.value))
     >>> [(issuer, request)] = sent
-    >>> issuer, request.count, verdicts
+    >>> issuer, request.count, decisions
     ('n1', 1, [])
     >>> leases.on_reply(request.number, tokens=1, wait=0.0)
-    >>> verdicts
+    >>> decisions
     ['granted']
 
     References
@@ -283,11 +284,11 @@
         lease.tokens += tokens
 
     def _refuse_waiting(
-        self, lease: _Lease, verdict: QuotaDecision, wait: float
+        self, lease: _Lease, decision: QuotaDecision, wait: float
     ) -> None:
         waiting, lease.waiting = lease.waiting, deque()
         for decided in waiting:
-            decided(verdict, self._retry_after(wait))
+            decided(decision, self._retry_after(wait))
 
     def _retry_after(self, wait: float) -> float:
         return max(0.0, wait) + self._random.uniform(0.2, 1.0) * _RETRY_JITTER_SECONDS
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
@@ -89,7 +89,8 @@
         self._counter = count()
         for node in self.nodes:
             self._tick(node)
-        # All know each other for long; nobody issues a first window any more.
+        # Starts the ticks.  Most tests run the fleet for more than a window before they
+        # send requests, so that no issuer is in its first one.
         self.run(0.2)
 
     def send(self, sender: Node, issuer: int, request: TokenRequest) -> None:
@@ -174,13 +175,13 @@
             largest = max(largest, len(window))
         return largest
 
-    def _decided(self, verdict: QuotaDecision, after: float) -> None:
+    def _decided(self, decision: QuotaDecision, after: float) -> None:
         times = {
             QuotaDecision.GRANTED: self.granted,
             QuotaDecision.EXHAUSTED: self.refused,
             QuotaDecision.UNREACHABLE: self.unreachable,
         }
-        times[verdict].append(self.clock.now())
+        times[decision].append(self.clock.now())
 
     def _reply(self, sender: Node, number: int, grant) -> None:
         if self.nodes[sender.name] is sender:
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
@@ -177,16 +177,16 @@
 def test_late_reply_grants_waiting_request_although_its_tokens_expired():
     """Guards against refusing everything when replies take longer than a lease."""
     clock = ManualClock(100.0)
-    sent, verdicts = [], []
+    sent, decisions = [], []
     leases = TokenLeases(
         clock, Random(1), BOUND, lambda name: ["n1"], lambda *asked: sent.append(asked)
     )
     for delay, expected in ((0.3, [QuotaDecision.GRANTED]), (0.6, [])):
-        leases.take(LARGE, lambda verdict, after: verdicts.append(verdict))
+        leases.take(LARGE, lambda decision, after: decisions.append(decision))
         clock.advance(delay)
         leases.on_reply(sent[-1][1].number, tokens=1, wait=0.0)
-        assert verdicts == expected
-        verdicts.clear()
+        assert decisions == expected
+        decisions.clear()
 
 
 def test_issuer_applies_lowered_limit_immediately():
--- a/packages/rattanfork-core/rattanfork_core/request/attempt.py
+++ b/packages/rattanfork-core/rattanfork_core/request/attempt.py
@@ -31,7 +31,7 @@
     lent_attempts : int
         Extra attempts that the instance may spend on calls of its own.
     state : AttemptState
-        What is known of it.
+        What the sender knows of the attempt.
     """
 
     number: int
--- a/packages/rattanfork-core/rattanfork_core/request/importance.py
+++ b/packages/rattanfork-core/rattanfork_core/request/importance.py
@@ -23,7 +23,7 @@
 
     @classmethod
     def parse(cls, name: str) -> "Importance":
-        """Return the importance with a name, in any case.
+        """Return the importance called ``name``; case is ignored.
 
         Raises
         ======
@@ -43,6 +43,6 @@
         return self.name.lower()
 
 
-#: Ranks lie in ``[0, RANK_LIMIT)``: the importance plus a tiebreak in ``[0, 1)``.  An
-#: admission threshold of this value admits everything.
+#: Ranks lie in ``[0, RANK_LIMIT)``: an importance plus a fraction that orders requests
+#: of equal importance.  An admission threshold of this value admits everything.
 RANK_LIMIT = len(Importance)
--- a/packages/rattanfork-core/rattanfork_core/request/result.py
+++ b/packages/rattanfork-core/rattanfork_core/request/result.py
@@ -7,19 +7,19 @@
 
 
 class FenceVerdict(IntEnum):
-    """A guard's reply to a fence."""
+    """Reply to a fence, from the guard: the node beside the upstream."""
 
     #: The attempt was never sent to the upstream, and never will be.
     NOT_RUN = 0
     #: The attempt was sent to the upstream.
     HANDED_OVER = 1
-    #: The guard has no record, or no longer one, from which it could tell.
+    #: The guard cannot tell, as it has no record of the attempt.
     UNKNOWN = 2
 
 
 @dataclass(slots=True)
 class CallResult:
-    """Result of an attempt.
+    """Result of an attempt, or of the whole request in its final command.
 
     Parameters
     ==========
