--- a/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/role_assignment.py
@@ -13,7 +13,7 @@
     Tasks such as reading the store need only a few nodes, so that the load on the
     store does not grow with the fleet.  The holders are chosen in each data centre,
     so that one that is partitioned off still has some.  They are computed anew
-    whenever the view changes, so others take over from holders that are gone.
+    whenever the view changes, so dead holders are replaced.
 
     Parameters
     ==========
@@ -43,8 +43,8 @@
 
     def __init__(self, membership: Membership, role: str, per_data_centre: int) -> None:
         self._membership = membership
-        self._duty = role
-        self._per_centre = per_data_centre
+        self._role = role
+        self._per_data_centre = per_data_centre
         self._version = -1
         self._names: list[str] = []
         self._fleet_size = 0
@@ -87,7 +87,7 @@
             names_by_centre.setdefault(member.data_centre, []).append(member.name)
         self._fleet_size = sum(len(names) for names in names_by_centre.values())
         groups = (
-            role_holders(names, self._duty, self._per_centre)
+            role_holders(names, self._role, self._per_data_centre)
             for names in names_by_centre.values()
         )
         self._names = [name for group in groups for name in group]
--- a/packages/rattanfork-core/rattanfork_core/revision/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/__init__.py
@@ -1,4 +1,4 @@
-"""The accepted rules: committed once, spread, never backwards."""
+"""Revisions of the rules and configuration that are applied to requests."""
 
 from rattanfork_core.revision.commit import (
     CommitMachine,
