--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
@@ -39,7 +39,7 @@
     True
     """
 
-    __slots__ = ("_burst", "_clock", "_fraction", "_saved", "_updated_at", "_trickle")
+    __slots__ = ("_burst", "_clock", "_fraction", "_tokens", "_updated_at", "_trickle")
 
     def __init__(
         self,
@@ -52,20 +52,20 @@
         self._fraction = fraction
         self._trickle = trickle
         self._burst = burst
-        self._saved = burst
+        self._tokens = burst
         self._updated_at = clock.now()
 
     def earn(self) -> None:
         """Add the tokens of one first attempt."""
-        self._saved = min(self._burst, self._saved + self._fraction)
+        self._tokens = min(self._burst, self._tokens + self._fraction)
 
     def spend(self) -> bool:
         """Take one retry token; return False if there is none."""
         now = self._clock.now()
         earned = (now - self._updated_at) * self._trickle
-        self._saved = min(self._burst, self._saved + earned)
+        self._tokens = min(self._burst, self._tokens + earned)
         self._updated_at = now
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
@@ -44,10 +44,10 @@
     ========
 
     >>> from rattanfork_core.clock import ManualClock
-    >>> grants = GateRetryBudget(ManualClock(), ratio=0.2, extra=0, window=10)
+    >>> budget = GateRetryBudget(ManualClock(), ratio=0.2, extra=0, window=10)
     >>> for _ in range(10):
-    ...     grants.count_request()
-    >>> grants.grant(2.5), grants.grant(2.5)
+    ...     budget.count_request()
+    >>> budget.grant(2.5), budget.grant(2.5)
     (True, False)
     """
 
@@ -81,7 +81,7 @@
         self._budget.count_request()
 
     def count_retry(self) -> None:
-        """Count a call made again by a retried run; it takes part without a grant."""
+        """Count a call that a retried run makes again; it needs no grant."""
         self._budget.count_retry()
 
     def grant(self, rank: float) -> bool:
--- a/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -18,7 +18,8 @@
 #: retries while others are denied.  No retries are reserved beyond it, since
 #: overloads are not expected to last.
 _IMPORTANT_SPREAD = 0.35
-#: Maximum fraction of the window: older retries leave the sliding window meanwhile.
+#: Maximum fraction of the window over which the remaining retries are spread: until
+#: then, retries of the previous window have left the sliding window.
 _MAX_SPREAD = 0.6
 
 
@@ -45,8 +46,8 @@
     succeeds only if each of them does, so distributing retries evenly saves hardly
     any: with half of the attempts refused and a fifth allowed as retries, one run
     of four calls in twenty succeeds, against one in five if the same requests are
-    granted retries at each call.  Within one importance the rank is a hash of the
-    request (its fate), which is the same along the whole call chain.
+    granted retries at each call.  Requests of equal importance are ordered by a
+    hash of the root request, which is the same along the whole call chain.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
@@ -17,41 +17,41 @@
         self.clock = ManualClock(100.0)
         self.gates = [self._gate(gates) for _ in range(gates)]
         self.requests: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
     def request(self, gate: int) -> None:
         self.gates[gate % len(self.gates)].count_request()
         self.requests.append(self.clock.now())
 
-    def repeat(self, gate: int, rank: float) -> None:
+    def retry(self, gate: int, rank: float) -> None:
         if self.gates[gate % len(self.gates)].grant(rank):
-            self.repeats.append(self.clock.now())
+            self.retries.append(self.clock.now())
 
     def remove_gate(self, gate: int) -> None:
         if len(self.gates) > 1:
             del self.gates[gate % len(self.gates)]
-            self._share()
+            self._update_gate_counts()
 
     def add_gate(self) -> None:
         self.gates.append(self._gate(len(self.gates) + 1))
-        self._share()
+        self._update_gate_counts()
 
     def is_within_bound(self) -> bool:
         """Return whether the bound holds for the window that ends now."""
         now = self.clock.now()
-        repeats = _between(self.repeats, now - WINDOW, now)
+        retries = _between(self.retries, now - WINDOW, now)
         peak = max(
             _between(self.requests, now - back - WINDOW, now - back)
             for back in (0.0, WINDOW / 2, WINDOW)
         )
-        return repeats <= RATIO * peak + EXTRA
+        return retries <= RATIO * peak + EXTRA
 
     def _gate(self, gates: int) -> GateRetryBudget:
         grants = GateRetryBudget(self.clock, RATIO, EXTRA, WINDOW)
         grants.set_gate_count(gates)
         return grants
 
-    def _share(self) -> None:
+    def _update_gate_counts(self) -> None:
         for gate in self.gates:
             gate.set_gate_count(len(self.gates))
 
@@ -62,7 +62,7 @@
 
 _STEPS = st.lists(
     st.tuples(
-        st.sampled_from(("request", "request", "request", "repeat", "repeat", "wait")),
+        st.sampled_from(("request", "request", "request", "retry", "retry", "wait")),
         st.integers(0, 11),
         st.floats(0.0, 4.9),
     ),
@@ -78,8 +78,8 @@
     for kind, gate, amount in steps:
         if kind == "request":
             service.request(gate)
-        elif kind == "repeat":
-            service.repeat(gate, amount)
+        elif kind == "retry":
+            service.retry(gate, amount)
         else:
             service.clock.advance(amount)
         assert service.is_within_bound()
@@ -94,13 +94,13 @@
     gate per window.
     """
     service = Service(gates)
-    for place in range(40):
-        service.request(place)
+    for gate in range(40):
+        service.request(gate)
     restarts = max(1, gates // 3)
-    for place, gate in enumerate(changes):
+    for index, gate in enumerate(changes):
         for _ in range(data.draw(st.integers(0, 10))):
-            service.repeat(gate, 0.5)
-        if place < restarts:
+            service.retry(gate, 0.5)
+        if index < restarts:
             service.remove_gate(gate)
             service.add_gate()
         assert service.is_within_bound()
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
@@ -19,11 +19,12 @@
         delegated = budget.delegate()
         child = RequestBudget(ManualClock(), 1.0, delegated)
         made += run_tree(child, depth - 1, data)
-        reply = data.draw(st.sampled_from(["whole", "lost", "doubled", "forged"]))
-        if reply == "whole":
+        reply = data.draw(st.sampled_from(["valid", "lost", "duplicate", "forged"]))
+        if reply == "valid":
             budget.reclaim(delegated, child.attempts)
         elif reply == "forged":
-            # A claim beyond the delegated tokens has its own test below.
+            # A forged claim is modelled as at most the tokens that are left; claims
+            # above the delegated share are tested separately.
             budget.reclaim(delegated, min(delegated, child.attempts))
     return made
 
@@ -44,7 +45,7 @@
     for _ in range(23):
         shares.append(budgets[-1].delegate())
         budgets.append(RequestBudget(ManualClock(), 1.0, shares[-1]))
-    assert sum(a.attempts for a in budgets) == grant
+    assert sum(budget.attempts for budget in budgets) == grant
     for parent, share, child in zip(
         budgets[-2::-1], shares[::-1], budgets[:0:-1], strict=True
     ):
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
@@ -109,18 +109,18 @@
     clock = ManualClock()
     budget = ServiceRetryBudget(clock, ratio=0.2, extra=3, window=10)
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     for kind, pause in steps:
         clock.advance(pause / 10)
         if kind == "request":
             budget.count_request()
             requests.append(clock.now())
         elif budget.spend(0.5):
-            repeats.append(clock.now())
-    for end in repeats:
-        inside = sum(end - 10 < t <= end for t in repeats)
-        heard = sum(end - 21 < t <= end for t in requests)
-        assert inside <= 0.2 * heard + 3
+            retries.append(clock.now())
+    for end in retries:
+        retries_in_window = sum(end - 10 < t <= end for t in retries)
+        requests_counted = sum(end - 21 < t <= end for t in requests)
+        assert retries_in_window <= 0.2 * requests_counted + 3
 
 
 @given(st.floats(0, 100))
--- a/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
@@ -132,8 +132,8 @@
         record = records.get(key)
         if record is None:
             if len(records) >= 2 * self._epoch_keys:
-                # Requests with keys issued in an earlier epoch can still fill
-                # that epoch after it has ended.
+                # Keys are stored on first use, so many keys issued in one epoch
+                # may arrive in a burst; the limit bounds memory.
                 return RefuseKey(Outcome.UNKNOWN, Reason.KEY_EXPIRED)
             record = RunRecord(key, caller, digest)
             records[key] = record
--- a/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
@@ -36,12 +36,12 @@
         self.clock = ManualClock()
         self.boots = 0
         self.runs: dict[str, int] = {}
-        self.told_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
         self.waiting: list = []
         self.running: list = []
-        self.replace_guard()
+        self.restart_node()
 
-    def replace_guard(self) -> None:
+    def restart_node(self) -> None:
         self.boots += 1
         self.registry = KeyRegistry(
             self.clock, "g", f"b{self.boots}", epoch_seconds=10, epoch_keys=4
@@ -64,7 +64,7 @@
             self.waiting.append(verdict.record)
         elif isinstance(verdict, RefuseKey):
             if verdict.outcome is Outcome.NOT_RUN and verdict.reason is Reason.FENCED:
-                self.told_not_run.add(key)
+                self.reported_not_run.add(key)
         elif isinstance(verdict, AlreadyAnswered):
             assert verdict.result.body == f"{key} for {caller}".encode()
         else:
@@ -84,7 +84,7 @@
         if self.waiting:
             record = data.draw(st.sampled_from(self.waiting))
             if self.registry.refuse(record):
-                self.told_not_run.add(record.key)
+                self.reported_not_run.add(record.key)
 
     @rule(data=st.data(), lost=st.booleans())
     def upstream_ends(self, data, lost):
@@ -101,7 +101,7 @@
     def fence(self, ticket):
         key = repr(ticket)
         if self.registry.fence(key, ticket) is FenceVerdict.NOT_RUN:
-            self.told_not_run.add(key)
+            self.reported_not_run.add(key)
 
     @rule(seconds=st.sampled_from([0.1, 5.0, 11.0, 100.0]))
     def pause(self, seconds):
@@ -109,15 +109,15 @@
 
     @rule()
     def kill(self):
-        self.replace_guard()
+        self.restart_node()
 
     @invariant()
-    def nothing_runs_twice(self):
+    def no_key_runs_twice(self):
         assert all(count == 1 for count in self.runs.values())
 
     @invariant()
-    def what_was_told_not_run_did_not_run(self):
-        assert not self.told_not_run & set(self.runs)
+    def key_reported_not_run_has_not_run(self):
+        assert not self.reported_not_run & set(self.runs)
 
     @invariant()
     def memory_is_bounded(self):
@@ -143,8 +143,8 @@
         registry.store_answer(
             verdict.record, CallResult(Outcome.ANSWERED, body=b"x" * 60)
         )
-    repeat = registry.on_request("k0", ticket(registry, 0), "clerk", 1)
-    assert repeat.reason is Reason.ANSWER_DROPPED
+    duplicate = registry.on_request("k0", ticket(registry, 0), "clerk", 1)
+    assert duplicate.reason is Reason.ANSWER_DROPPED
     assert registry.stored_answer_bytes <= 100
 
 
--- a/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
@@ -56,7 +56,7 @@
         if candidates is None:
             candidates = self._service_candidates(key)
         if len(candidates) > _MAX_LINEAR_RULES:
-            candidates = self._match_candidates(facts, candidates)
+            candidates = self._request_candidates(facts, candidates)
         for rule in candidates:
             if rule.condition.matches(facts):
                 return rule
@@ -75,7 +75,7 @@
         self._index[key] = candidates
         return candidates
 
-    def _match_candidates(
+    def _request_candidates(
         self, facts: RequestFacts, candidates: tuple[Rule, ...]
     ) -> tuple[Rule, ...]:
         key = (
--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -56,7 +56,11 @@
 
 
 class RequestSettings(_Strict):
-    """Defaults for values that neither the caller nor a rule sets."""
+    """Defaults for values that neither the caller nor a rule sets.
+
+    ``silence`` is the time without traffic from a peer, in seconds, after which its
+    connection counts as lost.
+    """
 
     deadline: float = Field(2.0, gt=0, le=600)
     longest_deadline: float = Field(60.0, gt=0, le=600)
@@ -72,7 +76,12 @@
 
 
 class RulesSettings(_Strict):
-    """How a node learns the rules in force."""
+    """How a node learns the rules in force.
+
+    ``data_centres_needed`` is the number of data centres whose peers make a node
+    ready if the platform's table does not answer; ``readers`` is the number of nodes
+    that read the table, every ``read_interval`` seconds.
+    """
 
     data_centres_needed: int = Field(2, ge=1, le=15)
     readers: int = Field(2, ge=1, le=10)
--- a/packages/rattanfork-core/rattanfork_core/trace/losses.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/losses.py
@@ -55,8 +55,8 @@
     lost : int
         Lost requests that have a log line.
     counted : dict
-        All lost requests by ``route/cause``, from the nodes' periodic counters.  These
-        are complete, while lines are omitted under load.
+        All lost requests by ``route/cause``, up to the last counters that each node
+        logged.  Counters are complete, while lines are omitted under load.
     late : dict
         Mean seconds per component of :data:`LATENCY_PARTS` of late requests, by route.
     left_out : dict
