--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_table.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_table.py
@@ -23,13 +23,13 @@
 
     clock : Clock
         Source of the current time.
-    most : int
+    max_entries : int
         Maximum number of entries in each table.
     """
 
-    def __init__(self, clock: Clock, most: int = 20_000) -> None:
+    def __init__(self, clock: Clock, max_entries: int = 20_000) -> None:
         self._clock = clock
-        self._max_entries = most
+        self._max_entries = max_entries
         self._budgets: OrderedDict[str, CallerRetryBudget] = OrderedDict()
         self._limits: OrderedDict[tuple[str, str], RateLimit] = OrderedDict()
         self._recent: OrderedDict[str, tuple[str, int]] = OrderedDict()
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_treatment.py
+++ b/packages/rattanfork-node/rattanfork_node/ingress/tests/test_treatment.py
@@ -66,7 +66,7 @@
 
 
 def test_what_is_remembered_of_callers_is_bounded():
-    book = CallerTable(ManualClock(), most=10)
+    book = CallerTable(ManualClock(), max_entries=10)
     for i in range(100):
         book.count_attempt(f"r{i}", "ann")
         book.retry_budget(f"caller:{i}")
