--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -80,7 +80,7 @@
 
     ``data_centres_needed`` is the number of data centres whose peers make a node
     ready if the platform's table does not answer; ``readers`` is the number of nodes
-    that read the table, every ``read_interval`` seconds.
+    per data centre that read the table, every ``read_interval`` seconds.
     """
 
     data_centres_needed: int = Field(2, ge=1, le=15)
