--- a/packages/rattanfork-core/rattanfork_core/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/__init__.py
@@ -5,13 +5,13 @@
 """
 
 __all__ = [
-    "budgets",
     "admission",
-    "idempotency",
+    "budgets",
     "burn",
     "clock",
-    "hashing",
     "gate_status",
+    "hashing",
+    "idempotency",
     "membership",
     "request",
     "revision",
--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
@@ -39,7 +39,7 @@
     True
     """
 
-    __slots__ = ("_burst", "_clock", "_fraction", "_tokens", "_updated_at", "_trickle")
+    __slots__ = ("_burst", "_clock", "_fraction", "_tokens", "_trickle", "_updated_at")
 
     def __init__(
         self,
--- a/packages/rattanfork-core/rattanfork_core/budgets/rate_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/rate_limit.py
@@ -25,7 +25,7 @@
     (True, False)
     """
 
-    __slots__ = ("_burst", "_clock", "_rate", "_updated_at", "_tokens")
+    __slots__ = ("_burst", "_clock", "_rate", "_tokens", "_updated_at")
 
     def __init__(self, clock: Clock, rate: float, burst: float | None = None) -> None:
         self._clock = clock
--- a/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -73,14 +73,14 @@
     """
 
     __slots__ = (
-        "_clock",
-        "_bucket_seconds",
         "_bucket",
+        "_bucket_seconds",
+        "_clock",
+        "_demand",
+        "_failure_rate",
         "_ratio",
-        "_retries",
         "_requests",
-        "_failure_rate",
-        "_demand",
+        "_retries",
         "_window",
         "extra",
     )
--- a/packages/rattanfork-core/rattanfork_core/objectives/windowed_count.py
+++ b/packages/rattanfork-core/rattanfork_core/objectives/windowed_count.py
@@ -36,7 +36,7 @@
     (0, 0)
     """
 
-    __slots__ = ("_clock", "_buckets", "_seconds", "_bucket_seconds")
+    __slots__ = ("_bucket_seconds", "_buckets", "_clock", "_seconds")
 
     def __init__(self, clock: Clock, seconds: float, buckets: int = 30) -> None:
         self._clock = clock
--- a/packages/rattanfork-core/rattanfork_core/rules/route_decision.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/route_decision.py
@@ -64,9 +64,9 @@
     Explanation
     ===========
 
-    A rule can declare a request not idempotent, but not idempotent: only the
-    author of the route knows the effect of running it twice.  Likewise a rule
-    can lower the timeout and the attempts of a route, but not raise them.
+    A rule can mark a request as non-idempotent, but never as idempotent: only the
+    author of the route knows the effect of running the request twice.  Likewise a
+    rule can lower the timeout and the attempts of a route, but not raise them.
 
     Examples
     ========
