--- a/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
@@ -21,7 +21,7 @@
     Parameters
     ==========
 
-    memory : int
+    max_calls : int
         Maximum number of handed-over calls that are recorded.
 
     Examples
@@ -38,8 +38,8 @@
     False
     """
 
-    def __init__(self, memory: int = 4096) -> None:
-        self._max_recorded = memory
+    def __init__(self, max_calls: int = 4096) -> None:
+        self._max_calls = max_calls
         self._handed_over: OrderedDict[int, None] = OrderedDict()
         self._evicted_up_to = 0
         self._fenced = False
@@ -62,7 +62,7 @@
         if self._fenced:
             return False
         self._handed_over[number] = None
-        if len(self._handed_over) > self._max_recorded:
+        if len(self._handed_over) > self._max_calls:
             oldest, _ = self._handed_over.popitem(last=False)
             self._evicted_up_to = max(self._evicted_up_to, oldest)
         return True
