--- a/packages/rattanfork-core/rattanfork_core/trace/request_trace.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/request_trace.py
@@ -130,7 +130,7 @@
 
 
 def _describe_run(line: LogLine) -> str:
-    origin = f"at the gate, from {line.get('origin') or 'this node'}"
+    origin = f"at the guard, for {line.get('origin') or 'this node'}"
     return "; ".join(
         [
             f"{origin}: {_outcome(line)}",
