--- a/bench/shared.py
+++ b/bench/shared.py
@@ -29,7 +29,7 @@
     """Commit a revision through the operators' command."""
     path = cluster.folder / "r.yaml"
     path.write_text(f"rules: [{{name: r{revision}, then: {{attempts: 1}}}}]")
-    await cluster.rattanfork(
+    await cluster.run_cli(
         "rules", "apply", str(path), "--platform", cluster.platform_url
     )
 
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -47,9 +47,9 @@
 
 def load(total: float, blind: bool) -> list[LoadSpec]:
     """Return the callers' load for a demand in requests a second."""
-    common = {"timeout": TIMEOUT, "try_timeout": TRY_TIMEOUT, "retries": 3}
+    common = {"timeout": TIMEOUT, "attempt_timeout": TRY_TIMEOUT, "retries": 3}
     return [
-        LoadSpec("file", "claims/file", 8, method="POST", blind=blind, **common),
+        LoadSpec("file", "claims/file", 8, method="POST", retry_unsafe=blind, **common),
         LoadSpec("view", "claims/view", 12, **common),
         LoadSpec("browse", "receipts/browse", total - 20, **common),
     ]
@@ -106,7 +106,7 @@
         return figures(scenario, stats.samples, began, runs, arrived)
 
     async def _debug(self, began: float, runs: list, samples: list) -> None:
-        good = {s.request_id for s in samples if s.good}
+        good = {s.request_id for s in samples if s.succeeded}
         waste = Counter(
             int(r["at"] - began) for r in runs if r["request_id"] not in good
         )
@@ -147,11 +147,11 @@
     """Return the figures of a scenario."""
     during = [s for s in samples if BEFORE + 0.5 <= s.began - began < BEFORE + TRIGGER]
     seconds = TRIGGER - 0.5
-    good_ids = {s.request_id for s in samples if s.good}
+    good_ids = {s.request_id for s in samples if s.succeeded}
     wasted = sum(run["request_id"] not in good_ids for run in runs)
     posts = Counter(r["body"] for r in runs if r["method"] == "POST")
     offered = len(during) / seconds
-    goodput = sum(s.good for s in during) / seconds
+    goodput = sum(s.succeeded for s in during) / seconds
     reachable = min(offered, scenario.capacity)
     return {
         "offered": round(offered, 1),
@@ -176,7 +176,7 @@
 
 def share(samples) -> float:
     """Return the share of requests answered whole and in time."""
-    good = [s.good for s in samples]
+    good = [s.succeeded for s in samples]
     return sum(good) / len(good) if good else 1.0
 
 
@@ -192,7 +192,7 @@
 
 def p99_back(samples: list[Sample], before: float) -> bool:
     """Return whether the 99th percentile is under its target."""
-    took = [s.took if s.good else TIMEOUT for s in samples]
+    took = [s.duration if s.succeeded else TIMEOUT for s in samples]
     return len(took) > 1 and quantiles(took, n=100)[98] <= P99_TARGET
 
 
@@ -214,7 +214,7 @@
     counts = [0] * int(2 * total)
     for sample in samples:
         place = int(2 * (sample.began - began))
-        if sample.good and 0 <= place < len(counts):
+        if sample.succeeded and 0 <= place < len(counts):
             counts[place] += 2
     return counts
 
@@ -309,7 +309,7 @@
             rules = cluster.folder / "rules.yaml"
             rules.write_text(RULES)
             await cluster.wait_ready()
-            await cluster.rattanfork(
+            await cluster.run_cli(
                 "rules", "apply", str(rules), "--platform", cluster.platform_url
             )
             await asyncio.sleep(2)
@@ -317,7 +317,7 @@
             cluster.add_baseline(
                 SERVICES,
                 retries=3 if system == "retries" else 0,
-                try_timeout=TRY_TIMEOUT,
+                attempt_timeout=TRY_TIMEOUT,
                 queue=10_000 if system == "retries" else 4,
             )
         run = Run(system, cluster, seed)
--- a/packages/rattanfork-soak/rattanfork_soak/place.py
+++ b/packages/rattanfork-soak/rattanfork_soak/place.py
@@ -50,7 +50,7 @@
         self, store: tuple[str, int], folder: Path, ports: FreePorts
     ) -> None:
         """Start proxies, worker and node."""
-        self.worker.address = ("127.0.0.1", ports.take())
+        self.worker.address = ("127.0.0.1", ports.reserve())
         await self.worker.start()
         self.worker_link = LoopbackProxy(self.worker.address)
         self.store_link = LoopbackProxy(store)
--- a/packages/rattanfork-testkit/rattanfork_testkit/caller.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/caller.py
@@ -22,11 +22,11 @@
         Requests a second, whatever becomes of those before.
     timeout : float
         Seconds in which the answer is needed.
-    try_timeout : float
+    attempt_timeout : float
         Seconds after which one try is given up; 0 for the whole time.
     retries : int
         Retries at once on any failure: callers ignore Retry-After.
-    blind : bool
+    retry_unsafe : bool
         Whether postings are tried again although they may have run.
     """
 
@@ -36,9 +36,9 @@
     importance: str = "normal"
     method: str = "GET"
     timeout: float = 1.0
-    try_timeout: float = 0.0
+    attempt_timeout: float = 0.0
     retries: int = 0
-    blind: bool = False
+    retry_unsafe: bool = False
 
 
 @dataclass(slots=True)
@@ -48,8 +48,8 @@
     name: str
     request_id: str
     began: float
-    took: float
-    good: bool
+    duration: float
+    succeeded: bool
     outcome: str
     status: int
     tries: int
@@ -67,7 +67,7 @@
 
     def good_ids(self) -> set[str]:
         """Return the IDs of requests that were answered whole and in time."""
-        return {sample.request_id for sample in self.samples if sample.good}
+        return {sample.request_id for sample in self.samples if sample.succeeded}
 
 
 class OpenLoopCaller:
@@ -138,7 +138,7 @@
         while tries <= spec.retries and monotonic() - began < spec.timeout:
             tries += 1
             good, outcome, status = await self._try(spec, request_id, began, tries)
-            posted = spec.method == "POST" and not spec.blind
+            posted = spec.method == "POST" and not spec.retry_unsafe
             if good or (posted and outcome != "not-run"):
                 break
             # Hard retries: at once, but for the time a client takes to act.
@@ -152,8 +152,8 @@
         self, spec: LoadSpec, request_id: str, began: float, number: int
     ) -> tuple[bool, str, int]:
         left = spec.timeout - (monotonic() - began)
-        if spec.try_timeout:
-            left = min(left, spec.try_timeout)
+        if spec.attempt_timeout:
+            left = min(left, spec.attempt_timeout)
         edge = self._random.choice(self._edges)
         headers = {
             "Rattanfork-Request-Id": request_id,
--- a/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
@@ -75,7 +75,7 @@
         """Start the platform."""
         self._folder = tempfile.TemporaryDirectory(prefix="rattanfork-")
         self._session = aiohttp.ClientSession()
-        self.platform_port = self._ports.take()
+        self.platform_port = self._ports.reserve()
         self.spawn_stand_ins([{"kind": "platform", "port": self.platform_port}])
         return self
 
@@ -102,7 +102,7 @@
 
     def free_port(self) -> int:
         """Return a free port."""
-        return self._ports.take()
+        return self._ports.reserve()
 
     def spawn_stand_ins(self, parts: list[dict]) -> subprocess.Popen:
         """Start one process with some stand-ins; wait until it listens."""
@@ -137,7 +137,7 @@
             f"{service}-{number}",
             service,
             data_centre,
-            *(self._ports.take() for _ in range(4)),
+            *(self._ports.reserve() for _ in range(4)),
             settings=Path(self._folder.name) / f"{service}-{number}.yaml",
         )
         self._write_settings(node, spec)
@@ -150,14 +150,14 @@
         self,
         services: dict[str, ServiceSpec],
         retries: int,
-        try_timeout: float,
+        attempt_timeout: float,
         **more: object,
     ) -> list[NodeHandle]:
         """Start upstreams with a bare forwarder beside each, and no node."""
         handles = []
         for name, spec in services.items():
             for i in range(spec.workers):
-                ports = [self._ports.take() for _ in range(4)]
+                ports = [self._ports.reserve() for _ in range(4)]
                 path = Path(self._folder.name) / f"{name}-{i}"
                 handles.append(NodeHandle(f"{name}-{i}", name, "", *ports, path))
         targets: dict[str, list[str]] = {}
@@ -169,7 +169,7 @@
                 "port": handle.edge_port,
                 "targets": targets,
                 "retries": retries,
-                "timeout": try_timeout,
+                "timeout": attempt_timeout,
                 "seed": i,
             }
             handle.process = self.spawn_stand_ins([forwarder])
@@ -220,7 +220,7 @@
         """Return what a node wrote to standard error."""
         return node.settings.with_suffix(".err").read_text()
 
-    async def rattanfork(self, *arguments: str) -> str:
+    async def run_cli(self, *arguments: str) -> str:
         """Run the operators' command and return what it printed.
 
         Raises
--- a/packages/rattanfork-testkit/rattanfork_testkit/demo.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/demo.py
@@ -185,7 +185,7 @@
         if falsely:
             self._failures.append("something ran that was told 'not run'")
         for name in ("file claim", "post dues"):
-            if any(not s.good for s in stats.named(name)):
+            if any(not s.succeeded for s in stats.named(name)):
                 self._failures.append(f"not every '{name}' was answered in time")
         await self._print_revisions()
 
@@ -203,9 +203,9 @@
             table.add_column(column)
         for name in dict.fromkeys(s.name for s in stats.samples):
             samples = stats.named(name)
-            took = [1000 * s.took for s in samples if s.good]
+            took = [1000 * s.duration for s in samples if s.succeeded]
             p99 = quantiles(took, n=100)[98] if len(took) > 1 else 0.0
-            outcomes = Counter(s.outcome for s in samples if not s.good)
+            outcomes = Counter(s.outcome for s in samples if not s.succeeded)
             table.add_row(
                 name,
                 _IMPORTANCE[name],
--- a/packages/rattanfork-testkit/rattanfork_testkit/ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/ports.py
@@ -19,14 +19,14 @@
     ========
 
     >>> ports = FreePorts()
-    >>> ports.take() != ports.take()
+    >>> ports.reserve() != ports.reserve()
     True
     """
 
     def __init__(self) -> None:
         self._kept: list[socket.socket] = []
 
-    def take(self) -> int:
+    def reserve(self) -> int:
         """Return a port, for TCP and UDP, not given out before."""
         while True:
             keeper = socket.socket()
--- a/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
@@ -14,7 +14,7 @@
     listen on it again.
     """
     ports = FreePorts()
-    port = ports.take()
+    port = ports.reserve()
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", port))
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/tests/test_processes.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/tests/test_processes.py
@@ -279,7 +279,7 @@
         await start(cluster)
         rules = cluster.folder / "r.yaml"
         rules.write_text("rules: [{name: a, then: {importance: high}}]")
-        await cluster.rattanfork(
+        await cluster.run_cli(
             "rules", "apply", str(rules), "--platform", cluster.platform_url
         )
         await _until_revision(cluster, 1)
@@ -309,7 +309,7 @@
             path = cluster.folder / f"{name}.yaml"
             path.write_text(f"rules: [{{name: {name}, then: {{importance: high}}}}]")
             texts.append(
-                cluster.rattanfork(
+                cluster.run_cli(
                     "rules", "apply", str(path), "--expected", "0",
                     "--platform", cluster.platform_url,
                 )
