--- a/packages/rattanfork-testkit/rattanfork_testkit/__init__.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for upstreams, callers and the platform, for tests and benches."""
+"""Test doubles of upstreams, callers and the platform, for tests and benchmarks."""
 
 from rattanfork_testkit.caller import CallerStats, LoadSpec, OpenLoopCaller
 from rattanfork_testkit.cluster import Cluster, NodeHandle
--- a/packages/rattanfork-testkit/rattanfork_testkit/caller.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/caller.py
@@ -1,4 +1,4 @@
-"""Open-loop callers."""
+"""Open-loop load generator that acts as the callers of a deployment."""
 
 import asyncio
 import json
@@ -11,23 +11,23 @@
 
 @dataclass(slots=True)
 class LoadSpec:
-    """One kind of request, and how callers behave.
+    """A kind of request, its rate, and how callers retry it.
 
     Parameters
     ==========
 
     path : str
-        What is called, as SERVICE/OPERATION.
+        Target, as SERVICE/OPERATION.
     rate : float
-        Requests a second, whatever becomes of those before.
+        Requests per second, independent of the progress of earlier ones.
     timeout : float
-        Seconds in which the answer is needed.
+        Seconds within which the caller needs the response.
     attempt_timeout : float
-        Seconds after which one try is given up; 0 for the whole time.
+        Time limit of one attempt in seconds; 0 for all of ``timeout``.
     retries : int
-        Retries at once on any failure: callers ignore Retry-After.
+        Most retries after a failure; callers do not honour Retry-After.
     retry_unsafe : bool
-        Whether postings are tried again although they may have run.
+        Whether a POST is retried although it may have run.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Sample:
-    """One request of a caller."""
+    """Result of one request, and the number of attempts it took (``tries``)."""
 
     name: str
     request_id: str
@@ -57,37 +57,39 @@
 
 @dataclass(slots=True)
 class CallerStats:
-    """What callers saw."""
+    """Results of requests, as the callers observed them."""
 
     samples: list[Sample] = field(default_factory=list)
 
-    def named(self, name: str) -> list[Sample]:
+    def by_name(self, name: str) -> list[Sample]:
         """Return the samples of one kind of request."""
         return [sample for sample in self.samples if sample.name == name]
 
-    def good_ids(self) -> set[str]:
-        """Return the IDs of requests that were answered whole and in time."""
+    def succeeded_ids(self) -> set[str]:
+        """Return the IDs of requests with a complete response in time."""
         return {sample.request_id for sample in self.samples if sample.succeeded}
 
 
 class OpenLoopCaller:
-    """Sends requests at given rates, whether or not earlier ones end.
+    """Sends requests at given rates, whether or not earlier ones have completed.
 
     Parameters
     ==========
 
-    edges : list of str
-        Base URLs to spread requests over.
+    edge_urls : list of str
+        Base URLs for callers; each attempt uses one at random.
     seed : int
-        Seed of arrivals and choices.
-    plain : bool
-        Whether there is no rattanfork in between.
+        Seed of arrival times, request IDs and choices of a URL.
+    direct : bool
+        Whether callers reach the upstreams without a node in between.
     """
 
-    def __init__(self, edges: list[str], seed: int = 1, plain: bool = False) -> None:
-        self._edges = edges
+    def __init__(
+        self, edge_urls: list[str], seed: int = 1, direct: bool = False
+    ) -> None:
+        self._edge_urls = edge_urls
         self._random = Random(seed)
-        self._plain = plain
+        self._direct = direct
         self._session: aiohttp.ClientSession | None = None
         self._tasks: set[asyncio.Task] = set()
         self._stats = CallerStats()
@@ -95,25 +97,25 @@
 
     @property
     def stats(self) -> CallerStats:
-        """What callers saw so far."""
+        """Results of the requests completed so far."""
         return self._stats
 
     def set_rate(self, name: str, rate: float) -> None:
-        """Change the rate of one kind of request while it runs."""
+        """Change the rate of one kind of request during a run."""
         self._rates[name] = rate
 
     async def run(self, specs: list[LoadSpec], seconds: float) -> CallerStats:
-        """Send for some seconds, then wait for what is under way."""
+        """Send requests for some seconds, then wait for those in flight."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as self._session:
             self._rates.update({spec.name: spec.rate for spec in specs})
             end = monotonic() + seconds
-            await asyncio.gather(*(self._send_forever(spec, end) for spec in specs))
+            await asyncio.gather(*(self._send_at_rate(spec, end) for spec in specs))
             if self._tasks:
                 await asyncio.wait(self._tasks, timeout=15)
         return self._stats
 
-    async def _send_forever(self, spec: LoadSpec, end: float) -> None:
+    async def _send_at_rate(self, spec: LoadSpec, end: float) -> None:
         at = monotonic()
         while at < end:
             rate = self._rates[spec.name]
@@ -127,34 +129,38 @@
                 await asyncio.sleep(delay)
             elif delay < -0.5:
                 at = monotonic()
-            task = asyncio.ensure_future(self._request(spec))
+            task = asyncio.ensure_future(self._send_with_retries(spec))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _request(self, spec: LoadSpec) -> None:
+    async def _send_with_retries(self, spec: LoadSpec) -> None:
         request_id = f"{self._random.getrandbits(128):032x}"
         began = monotonic()
-        good, outcome, status, tries = False, "unknown", 0, 0
-        while tries <= spec.retries and monotonic() - began < spec.timeout:
-            tries += 1
-            good, outcome, status = await self._try(spec, request_id, began, tries)
-            posted = spec.method == "POST" and not spec.retry_unsafe
-            if good or (posted and outcome != "not-run"):
+        succeeded, outcome, status, attempts = False, "unknown", 0, 0
+        while attempts <= spec.retries and monotonic() - began < spec.timeout:
+            attempts += 1
+            succeeded, outcome, status = await self._send_attempt(
+                spec, request_id, began, attempts
+            )
+            safe_post = spec.method == "POST" and not spec.retry_unsafe
+            if succeeded or (safe_post and outcome != "not-run"):
                 break
-            # Hard retries: at once, but for the time a client takes to act.
+            # Retry without back-off; the pause stands for the processing of a client.
             await asyncio.sleep(0.02)
         took = monotonic() - began
         self._stats.samples.append(
-            Sample(spec.name, request_id, began, took, good, outcome, status, tries)
+            Sample(
+                spec.name, request_id, began, took, succeeded, outcome, status, attempts
+            )
         )
 
-    async def _try(
+    async def _send_attempt(
         self, spec: LoadSpec, request_id: str, began: float, number: int
     ) -> tuple[bool, str, int]:
         left = spec.timeout - (monotonic() - began)
         if spec.attempt_timeout:
             left = min(left, spec.attempt_timeout)
-        edge = self._random.choice(self._edges)
+        edge_url = self._random.choice(self._edge_urls)
         headers = {
             "Rattanfork-Request-Id": request_id,
             "Rattanfork-Importance": spec.importance,
@@ -162,7 +168,7 @@
             "Rattanfork-Timeout-Ms": str(max(1, int(left * 1000))),
             "Rattanfork-Attempt": str(number),
         }
-        url = f"{edge}/{spec.path}?echo={request_id}"
+        url = f"{edge_url}/{spec.path}?echo={request_id}"
         data = request_id.encode() if spec.method == "POST" else None
         try:
             async with self._session.request(
@@ -176,15 +182,15 @@
         except (TimeoutError, aiohttp.ClientError):
             return False, "unknown", 0
         outcome = response.headers.get("Rattanfork-Outcome", "answered")
-        good = response.status == 200 and self._whole(body, request_id)
+        succeeded = response.status == 200 and self._is_complete(body, request_id)
         in_time = monotonic() - began <= spec.timeout
-        return good and in_time, outcome, response.status
+        return succeeded and in_time, outcome, response.status
 
-    def _whole(self, body: bytes, request_id: str) -> bool:
+    def _is_complete(self, body: bytes, request_id: str) -> bool:
         try:
             answer = json.loads(body)
         except ValueError:
             return False
         if answer.get("echo") != request_id:
-            raise AssertionError("a caller got another caller's answer")
+            raise AssertionError("response belongs to the request of another caller")
         return bool(answer.get("complete"))
--- a/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
@@ -1,4 +1,4 @@
-"""Starts and stops stand-ins and nodes as processes on loopback."""
+"""Cluster of nodes and test doubles, each a process on the loopback interface."""
 
 import asyncio
 import json
@@ -17,12 +17,12 @@
 from rattanfork_testkit.deployments import Deployment, ServiceSpec
 from rattanfork_testkit.ports import FreePorts
 
-_KEY = "a key for tests on loopback only"
+_SECURITY_KEY = "a key for tests on loopback only"
 
 
 @dataclass(slots=True)
 class NodeHandle:
-    """A node process and the upstream beside it."""
+    """Ports, settings and processes of a node and the upstream beside it."""
 
     instance: str
     service: str
@@ -53,12 +53,13 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """Stand-ins and nodes of some deployments.
+    """Nodes of some deployments, with stand-ins for upstreams and the platform.
 
     Examples
     ========
 
-    ``async with Cluster() as cluster:`` stops what it started at the end.
+    ``async with Cluster() as cluster:`` starts the platform, and on exit stops
+    every process that the cluster has started.
     """
 
     seed: int = 1
@@ -67,20 +68,20 @@
     nodes: list[NodeHandle] = field(default_factory=list)
     node_settings: dict = field(default_factory=dict)
     _ports: FreePorts = field(default_factory=FreePorts)
-    _folder: tempfile.TemporaryDirectory | None = None
+    _directory: tempfile.TemporaryDirectory | None = None
     _processes: list[subprocess.Popen] = field(default_factory=list)
     _session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> "Cluster":
-        """Start the platform."""
-        self._folder = tempfile.TemporaryDirectory(prefix="rattanfork-")
+        """Start the stand-in for the platform."""
+        self._directory = tempfile.TemporaryDirectory(prefix="rattanfork-")
         self._session = aiohttp.ClientSession()
         self.platform_port = self._ports.reserve()
         self.spawn_stand_ins([{"kind": "platform", "port": self.platform_port}])
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything this started, by its process ID."""
+        """Stop all processes that were started here, by process ID."""
         await self._session.close()
         for process in self._processes:
             if process.poll() is None:
@@ -88,7 +89,7 @@
                 process.kill()
         for process in self._processes:
             process.wait(10)
-        self._folder.cleanup()
+        self._directory.cleanup()
 
     @property
     def platform_url(self) -> str:
@@ -97,20 +98,20 @@
 
     @property
     def folder(self) -> Path:
-        """A folder that is removed at the end."""
-        return Path(self._folder.name)
+        """Temporary directory, removed when the cluster stops."""
+        return Path(self._directory.name)
 
     def free_port(self) -> int:
-        """Return a free port."""
+        """Reserve a port and return its number."""
         return self._ports.reserve()
 
-    def spawn_stand_ins(self, parts: list[dict]) -> subprocess.Popen:
-        """Start one process with some stand-ins; wait until it listens."""
+    def spawn_stand_ins(self, specs: list[dict]) -> subprocess.Popen:
+        """Start one process that runs some stand-ins; wait until they listen."""
         command = [
             sys.executable,
             "-m",
             "rattanfork_testkit.processes",
-            json.dumps(parts),
+            json.dumps(specs),
         ]
         process = subprocess.Popen(command, stdout=subprocess.PIPE)
         self._processes.append(process)
@@ -118,7 +119,7 @@
         return process
 
     def add_deployment(self, deployment: Deployment, workers: int = 0) -> None:
-        """Start all services of a deployment."""
+        """Start the instances of all services of a deployment."""
         for name, spec in deployment.services.items():
             for i in range(workers or spec.workers):
                 centre = deployment.data_centres[i % len(deployment.data_centres)]
@@ -132,13 +133,13 @@
         number: int,
         **more: object,
     ) -> NodeHandle:
-        """Start one upstream and its node."""
+        """Start an upstream and its node."""
         node = NodeHandle(
             f"{service}-{number}",
             service,
             data_centre,
             *(self._ports.reserve() for _ in range(4)),
-            settings=Path(self._folder.name) / f"{service}-{number}.yaml",
+            settings=Path(self._directory.name) / f"{service}-{number}.yaml",
         )
         self._write_settings(node, spec)
         self.start_upstream(node, spec, number, **more)
@@ -153,12 +154,12 @@
         attempt_timeout: float,
         **more: object,
     ) -> list[NodeHandle]:
-        """Start upstreams with a bare forwarder beside each, and no node."""
+        """Start upstreams, each with a plain forwarder in place of a node."""
         handles = []
         for name, spec in services.items():
             for i in range(spec.workers):
                 ports = [self._ports.reserve() for _ in range(4)]
-                path = Path(self._folder.name) / f"{name}-{i}"
+                path = Path(self._directory.name) / f"{name}-{i}"
                 handles.append(NodeHandle(f"{name}-{i}", name, "", *ports, path))
         targets: dict[str, list[str]] = {}
         for handle in handles:
@@ -187,7 +188,7 @@
         **more: object,
     ) -> None:
         """Start the upstream beside a node."""
-        part = {
+        spec_values = {
             "kind": "upstream",
             "service": node.service,
             "port": node.upstream_port,
@@ -200,10 +201,10 @@
             "seed": self.seed * 1000 + seed,
             **more,
         }
-        node.upstream = self.spawn_stand_ins([part])
+        node.upstream = self.spawn_stand_ins([spec_values])
 
     def start_node(self, node: NodeHandle) -> None:
-        """Start a node from its settings."""
+        """Start the process of a node from its settings file."""
         command = [
             sys.executable,
             "-m",
@@ -217,17 +218,17 @@
         self._processes.append(node.process)
 
     def errors(self, node: NodeHandle) -> str:
-        """Return what a node wrote to standard error."""
+        """Return the standard error of a node, over all of its processes."""
         return node.settings.with_suffix(".err").read_text()
 
     async def run_cli(self, *arguments: str) -> str:
-        """Run the operators' command and return what it printed.
+        """Run the command line and return its standard output.
 
         Raises
         ======
 
         RuntimeError
-            If it did not succeed.
+            If the exit status is not 0; the message is its standard error.
         """
         command = [sys.executable, "-m", "rattanfork_cli.main", *arguments]
         process = await asyncio.create_subprocess_exec(
@@ -239,7 +240,7 @@
         return out.decode().strip()
 
     async def get(self, url: str) -> dict:
-        """Return JSON from a stand-in or an admin port."""
+        """Return the JSON response of a stand-in or an admin port."""
         async with self._session.get(url) as response:
             return await response.json()
 
@@ -249,13 +250,14 @@
             response.raise_for_status()
 
     async def wait_ready(self, timeout: float = 60.0) -> None:
-        """Wait until every node knows the rules and all instances.
+        """Wait until each live node is ready and knows all instances as ready.
 
         Raises
         ======
 
         TimeoutError
-            If that takes too long.
+            If it takes longer than ``timeout`` seconds; the message lists what
+            each node knows.
         """
         end = monotonic() + timeout
         live = [n for n in self.nodes if n.process.poll() is None]
@@ -263,8 +265,8 @@
             if all([await self._is_ready(node, len(live)) for node in live]):
                 return
             await asyncio.sleep(0.1)
-        views = [await self._describe(node) for node in live]
-        raise TimeoutError("the nodes did not get ready: " + "; ".join(views))
+        descriptions = [await self._describe(node) for node in live]
+        raise TimeoutError("nodes did not become ready: " + "; ".join(descriptions))
 
     async def _is_ready(self, node: NodeHandle, count: int) -> bool:
         try:
@@ -276,13 +278,13 @@
         return status["ready"] and len(serving) >= count
 
     async def _describe(self, node: NodeHandle) -> str:
-        """Return what a node knows, for whoever has to find out what is wrong."""
+        """Describe the members that a node knows, for the error of a failed start."""
         if node.process.poll() is not None:
-            return f"{node.instance} ended with {node.process.returncode}"
+            return f"{node.instance} exited with status {node.process.returncode}"
         try:
             members = await self.get(f"{node.admin}/members")
         except (aiohttp.ClientError, OSError) as error:
-            return f"{node.instance} does not answer: {error!r}"
+            return f"{node.instance} does not respond: {error!r}"
         known = [f"{m['instance']} {m['status']} {m['ready']}" for m in members]
         return f"{node.instance} knows {', '.join(known)}"
 
@@ -298,7 +300,7 @@
             "gossip_port": node.peer_port,
             "admin_port": node.admin_port,
             "seeds": seeds,
-            "security": {"key": _KEY},
+            "security": {"key": _SECURITY_KEY},
             "upstream": {
                 "url": node.upstream_url,
                 "slots": spec.slots,
--- a/packages/rattanfork-testkit/rattanfork_testkit/demo.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: both deployments, a surge, a rule change and a drain."""
+"""Demonstration: two deployments under a surge, a change of rules and a drain."""
 
 import asyncio
 import json
@@ -18,9 +18,9 @@
 from rattanfork_testkit.cluster import Cluster, NodeHandle
 from rattanfork_testkit.deployments import CLAIMS_BUREAU, REGISTRY_AUTHORITY
 
-_TWICE = ("claims", "donors", "receipts")
-_PROBES = 150
-_SURGE = 500
+_REPLICATED_SERVICES = ("claims", "donors", "receipts")
+_LATENCY_SAMPLES = 150
+_SURGE_RATE = 500
 _RULES = """\
 rules:
 - name: filings-first
@@ -39,9 +39,9 @@
 - {service: claims, target: 0.999}
 - {service: receipts, target: 0.9}
 """
-_RETIRED = "clerks"
-#: What the rules make of each kind of request.
-_IMPORTANCE = {
+_RETIRED_RULE = "clerks"
+#: Importance that the rules give to each kind of request, as shown in the table.
+_SHOWN_IMPORTANCE = {
     "file claim": "critical",
     "post dues": "critical",
     "donor search": "high, then normal",
@@ -51,7 +51,7 @@
 
 
 class Demo:
-    """Runs the demonstration and checks what it claims."""
+    """Runs the demonstration and checks its guarantees."""
 
     def __init__(self, cluster: Cluster, folder: Path) -> None:
         self._cluster = cluster
@@ -60,23 +60,23 @@
         self._failures: list[str] = []
 
     async def run(self) -> int:
-        """Run all parts; return the exit status."""
+        """Run all steps; return the exit status."""
         await self._start()
         self._apply_rules()
-        added = await self._measure_added()
-        stats = await self._traffic()
-        await self._report(stats, added)
+        added_latency = await self._measure_added_latency()
+        stats = await self._run_traffic()
+        await self._report(stats, added_latency)
         for failure in self._failures:
-            self._console.print(f"NOT HELD: {failure}", style="red")
+            self._console.print(f"FAILED: {failure}", style="red")
         if not self._failures:
-            self._console.print("All that is claimed held.")
+            self._console.print("All checks passed.")
         return 1 if self._failures else 0
 
     async def _start(self) -> None:
         began = monotonic()
         for deployment in (CLAIMS_BUREAU, REGISTRY_AUTHORITY):
             for name, spec in deployment.services.items():
-                for i in range(2 if name in _TWICE else 1):
+                for i in range(2 if name in _REPLICATED_SERVICES else 1):
                     centre = deployment.data_centres[i]
                     self._cluster.add_instance(name, spec, centre, i + 1)
         await self._cluster.wait_ready()
@@ -87,7 +87,7 @@
             f"are ready after {took:.1f} s."
         )
 
-    def _rattanfork(self, *arguments: str) -> str:
+    def _run_cli(self, *arguments: str) -> str:
         command = [sys.executable, "-m", "rattanfork_cli.main", *arguments]
         done = subprocess.run(command, capture_output=True, text=True, timeout=30)
         if done.returncode:
@@ -98,29 +98,29 @@
         rules = self._folder / "rules.yaml"
         rules.write_text(_RULES)
         platform = self._cluster.platform_url
-        said = self._rattanfork(
+        output = self._run_cli(
             "rules", "apply", str(rules), "--platform", platform, "--author", "demo"
         )
-        self._console.print(f"rules apply: {said}")
+        self._console.print(f"rules apply: {output}")
 
-    async def _measure_added(self) -> list[float]:
-        node = self._node("receipts-1")
-        others = [n for n in self._cluster.nodes if n.service == "audit"]
-        through, direct = [], []
+    async def _measure_added_latency(self) -> list[float]:
+        node = self._find_node("receipts-1")
+        targets = [n for n in self._cluster.nodes if n.service == "audit"]
+        via_nodes, direct = [], []
         async with aiohttp.ClientSession() as session:
-            for i in range(_PROBES + 20):
+            for i in range(_LATENCY_SAMPLES + 20):
                 for took, url in (
-                    (through, f"{node.edge}/audit/entries"),
-                    (direct, f"{others[0].upstream_url}/entries"),
+                    (via_nodes, f"{node.edge}/audit/entries"),
+                    (direct, f"{targets[0].upstream_url}/entries"),
                 ):
                     began = monotonic()
                     async with session.get(url) as response:
                         await response.read()
                     if i >= 20:
                         took.append(monotonic() - began)
-        return [1000 * (median(through) - median(direct)), 1000 * median(direct)]
+        return [1000 * (median(via_nodes) - median(direct)), 1000 * median(direct)]
 
-    async def _traffic(self) -> CallerStats:
+    async def _run_traffic(self) -> CallerStats:
         edges = [n.edge for n in self._cluster.nodes if n.instance != "donors-2"]
         caller = OpenLoopCaller(edges, seed=self._cluster.seed)
         load = [
@@ -132,25 +132,27 @@
         ]
         sending = asyncio.ensure_future(caller.run(load, 14))
         await asyncio.sleep(3)
-        self._console.print(f"Surge: receipts browsing from 30 to {_SURGE} a second.")
-        await self._slow_donors(15.0)
-        caller.set_rate("browse receipts", _SURGE)
+        self._console.print(
+            f"Surge: browsing of receipts rises from 30 to {_SURGE_RATE} requests/s."
+        )
+        await self._set_donors_slowdown(15.0)
+        caller.set_rate("browse receipts", _SURGE_RATE)
         await asyncio.sleep(4)
         caller.set_rate("browse receipts", 30)
-        await self._slow_donors(1.0)
-        said = await asyncio.to_thread(
-            self._rattanfork,
+        await self._set_donors_slowdown(1.0)
+        output = await asyncio.to_thread(
+            self._run_cli,
             "rules",
             "retire",
-            _RETIRED,
+            _RETIRED_RULE,
             "--platform",
             self._cluster.platform_url,
         )
-        self._console.print(f"rules retire {_RETIRED}, under traffic: {said}")
-        await self._drain(self._node("donors-2"))
+        self._console.print(f"rules retire {_RETIRED_RULE}, under traffic: {output}")
+        await self._drain(self._find_node("donors-2"))
         return await sending
 
-    async def _slow_donors(self, factor: float) -> None:
+    async def _set_donors_slowdown(self, factor: float) -> None:
         for node in self._cluster.nodes:
             if node.service == "donors":
                 await self._cluster.control(node.upstream_url, slow=factor)
@@ -167,26 +169,29 @@
         if status:
             self._failures.append("the drained node did not exit with status 0")
 
-    def _node(self, instance: str) -> NodeHandle:
+    def _find_node(self, instance: str) -> NodeHandle:
         return next(n for n in self._cluster.nodes if n.instance == instance)
 
-    async def _report(self, stats: CallerStats, added: list[float]) -> None:
+    async def _report(self, stats: CallerStats, added_latency: list[float]) -> None:
         self._print_requests(stats)
-        doubled = await self._doubled_runs()
-        falsely = await self._ran_though_not_run(stats)
+        duplicates = await self._count_duplicate_runs()
+        false_not_run = await self._count_false_not_run(stats)
         self._console.print(
-            f"Added latency, two nodes passed, one call at a time: median "
-            f"{added[0]:.2f} ms over a direct call of {added[1]:.2f} ms."
+            f"Added latency, through two nodes, one call at a time: median "
+            f"{added_latency[0]:.2f} ms on top of a direct call of "
+            f"{added_latency[1]:.2f} ms."
         )
-        self._console.print(f"Postings and filings run twice: {doubled}")
-        self._console.print(f"Run although told 'not run': {falsely}")
-        if doubled:
-            self._failures.append("something ran twice")
-        if falsely:
-            self._failures.append("something ran that was told 'not run'")
+        self._console.print(f"Duplicate runs of POST requests: {duplicates}")
+        self._console.print(f"Runs of requests reported as 'not run': {false_not_run}")
+        if duplicates:
+            self._failures.append("a POST request ran more than once")
+        if false_not_run:
+            self._failures.append("a request ran although it was reported as 'not run'")
         for name in ("file claim", "post dues"):
-            if any(not s.succeeded for s in stats.named(name)):
-                self._failures.append(f"not every '{name}' was answered in time")
+            if any(not s.succeeded for s in stats.by_name(name)):
+                self._failures.append(
+                    f"not every '{name}' got a complete response in time"
+                )
         await self._print_revisions()
 
     def _print_requests(self, stats: CallerStats) -> None:
@@ -195,20 +200,20 @@
             "kind",
             "importance",
             "sent",
-            "whole in time",
+            "completed in time",
             "not run",
             "unknown",
             "p99",
         ):
             table.add_column(column)
         for name in dict.fromkeys(s.name for s in stats.samples):
-            samples = stats.named(name)
+            samples = stats.by_name(name)
             took = [1000 * s.duration for s in samples if s.succeeded]
             p99 = quantiles(took, n=100)[98] if len(took) > 1 else 0.0
             outcomes = Counter(s.outcome for s in samples if not s.succeeded)
             table.add_row(
                 name,
-                _IMPORTANCE[name],
+                _SHOWN_IMPORTANCE[name],
                 str(len(samples)),
                 str(len(took)),
                 str(outcomes["not-run"]),
@@ -224,26 +229,26 @@
             entries += answer["ledger"]
         return entries
 
-    async def _doubled_runs(self) -> int:
+    async def _count_duplicate_runs(self) -> int:
         posts = [e["body"] for e in await self._ledgers() if e["method"] == "POST"]
         return sum(count - 1 for count in Counter(posts).values())
 
-    async def _ran_though_not_run(self, stats: CallerStats) -> int:
+    async def _count_false_not_run(self, stats: CallerStats) -> int:
         ran = {e["request_id"] for e in await self._ledgers() if e["method"] == "POST"}
-        told = {s.request_id for s in stats.samples if s.outcome == "not-run"}
-        return len(ran & told)
+        not_run = {s.request_id for s in stats.samples if s.outcome == "not-run"}
+        return len(ran & not_run)
 
     async def _print_revisions(self) -> None:
-        admin = self._node("claims-1").admin
+        admin = self._find_node("claims-1").admin
         answer = json.loads(
-            self._rattanfork("rules", "status", "--json", "--node", admin) or "{}"
+            self._run_cli("rules", "status", "--json", "--node", admin) or "{}"
         )
         revisions = Counter(n["revision"] for n in answer.get("nodes", []))
         for revision, count in revisions.items():
             self._console.print(f"Revision {revision} is in force at {count} nodes.")
         live = len(self._cluster.nodes) - 1
         if revisions.get(2, 0) < live or any(r not in (2, None) for r in revisions):
-            self._failures.append("the accepted revision is not in force everywhere")
+            self._failures.append("the accepted revision is not in force at every node")
 
 
 async def _main() -> int:
--- a/packages/rattanfork-testkit/rattanfork_testkit/deployments.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/deployments.py
@@ -1,23 +1,23 @@
-"""The two deployments of the first users, as stand-ins run them."""
+"""Services and data centres of two example deployments."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service as the stand-in runs it.
+    """Capacity and child calls of a service that stand-ins run.
 
     Parameters
     ==========
 
     workers : int
-        Instances.
+        Number of instances.
     slots, connections : int
-        Bounds of each instance.
+        Most concurrent requests and connections of each instance.
     service_time : float
-        Seconds of work for a request, beside its child calls.
+        Mean seconds of work per request, without its child calls.
     children : dict
-        For each operation, the deeper calls it makes, as SERVICE/OPERATION.
+        For each operation, its calls to other services, as SERVICE/OPERATION.
     """
 
     workers: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's services and data centres."""
+    """Services and data centres of one user."""
 
     name: str
     data_centres: tuple[str, ...]
--- a/packages/rattanfork-testkit/rattanfork_testkit/forwarder.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/forwarder.py
@@ -1,4 +1,4 @@
-"""Baselines: plain forwarding, with retries or a fixed limit."""
+"""Baseline for benchmarks: a plain forwarder with retries or a concurrency limit."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,12 +7,14 @@
 import aiohttp
 from aiohttp import web
 
-_DROPPED = frozenset(("host", "content-length", "transfer-encoding", "connection"))
+_NOT_FORWARDED_HEADERS = frozenset(
+    ("host", "content-length", "transfer-encoding", "connection")
+)
 
 
 @dataclass(slots=True)
 class ForwarderSpec:
-    """How a baseline forwards.
+    """Retries and limits of a forwarder.
 
     Parameters
     ==========
@@ -20,11 +22,12 @@
     targets : dict
         Base URLs of the instances of each service.
     retries : int
-        Retries on any failure or 5xx answer, at once, at another instance.
+        Most immediate retries after a failure or a 5xx response, each at a
+        random instance.
     limit : int
-        Most requests under way; beyond that, shed.  0 for no limit.
+        Most requests in flight; requests above it are shed.  0 for no limit.
     timeout : float
-        Seconds for one attempt.
+        Time limit of one attempt in seconds.
     """
 
     port: int
@@ -36,7 +39,7 @@
 
 
 class Forwarder:
-    """A bare aiohttp forwarder, the baseline for speed and for surges."""
+    """An aiohttp forwarder without overload control; compared in benchmarks."""
 
     def __init__(self, spec: ForwarderSpec) -> None:
         self._spec = spec
@@ -45,7 +48,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen for requests."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(total=self._spec.timeout),
@@ -57,7 +60,7 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         limit = self._spec.limit
-        # Random early shedding near the limit, without regard to importance.
+        # Sheds at random from 90% of the limit, regardless of importance.
         if limit and self._in_flight >= limit * self._random.uniform(0.9, 1.0):
             return web.Response(status=503)
         self._in_flight += 1
@@ -67,25 +70,25 @@
             self._in_flight -= 1
 
     async def _forward(self, request: web.BaseRequest) -> web.Response:
-        _, service, rest = request.raw_path.split("/", 2)
+        _, service, path = request.raw_path.split("/", 2)
         body = await request.read() if request.body_exists else None
         headers = {
             name: value
             for name, value in request.headers.items()
-            if name.lower() not in _DROPPED
+            if name.lower() not in _NOT_FORWARDED_HEADERS
         }
         response = web.Response(status=502)
         for _ in range(self._spec.retries + 1):
             target = self._random.choice(self._spec.targets[service])
             try:
                 async with self._session.request(
-                    request.method, f"{target}/{rest}", headers=headers, data=body
-                ) as answer:
-                    content = await answer.read()
+                    request.method, f"{target}/{path}", headers=headers, data=body
+                ) as upstream_response:
+                    response_body = await upstream_response.read()
                     response = web.Response(
-                        status=answer.status,
-                        body=content,
-                        headers={"Content-Type": answer.content_type},
+                        status=upstream_response.status,
+                        body=response_body,
+                        headers={"Content-Type": upstream_response.content_type},
                     )
             except (TimeoutError, aiohttp.ClientError):
                 response = web.Response(status=502)
--- a/packages/rattanfork-testkit/rattanfork_testkit/platform.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's table service and object store."""
+"""Test double of the platform: its table service and object store."""
 
 import asyncio
 import json
@@ -9,12 +9,14 @@
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _TokenBucket:
+    """Rate limit; ``then`` is the time of the last refill."""
+
     rate: float
     tokens: float
     then: float
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         now = monotonic()
         self.tokens = min(self.rate, self.tokens + (now - self.then) * self.rate)
         self.then = now
@@ -25,15 +27,21 @@
 
 
 class PlatformStandIn:
-    """A transactional table and an object store, with faults.
+    """An in-memory transactional table and object store, with injected faults.
 
     Explanation
     ===========
 
-    ``POST /-/control`` sets the ``mode``: ``up``; ``down`` (connections are
-    dropped); ``slow`` (answers after ``delay`` seconds); ``lose`` (writes
-    take effect and their answers are lost).  Rates beyond those promised
-    are answered by 503.
+    ``POST /-/control`` sets the ``mode``: ``up``; ``down`` (closes connections
+    without a response); ``slow`` (responds after ``delay`` seconds); ``lose``
+    (applies writes, and closes the connection without a response).  Requests
+    above the rate limits get status 503.
+
+    Parameters
+    ==========
+
+    writes, reads : float
+        Rate limits, in requests per second.
     """
 
     def __init__(self, port: int, writes: float = 400, reads: float = 2000) -> None:
@@ -42,12 +50,12 @@
         self._objects: dict[str, bytes] = {}
         self._mode = "up"
         self._delay = 0.0
-        self._writes = _Bucket(writes, writes, monotonic())
-        self._reads = _Bucket(reads, reads, monotonic())
+        self._writes = _TokenBucket(writes, writes, monotonic())
+        self._reads = _TokenBucket(reads, reads, monotonic())
         self._counts = {"reads": 0, "writes": 0, "refused": 0}
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen for requests."""
         server = web.Server(self._handle, access_log=None)
         loop = asyncio.get_running_loop()
         await loop.create_server(server, "127.0.0.1", self._port, backlog=1024)
@@ -66,13 +74,13 @@
             return web.Response(status=503)
         if self._mode == "slow":
             await asyncio.sleep(self._delay)
-        writing = request.method != "GET"
-        if not (self._writes if writing else self._reads).take():
+        is_write = request.method != "GET"
+        if not (self._writes if is_write else self._reads).try_acquire():
             self._counts["refused"] += 1
             return web.Response(status=503)
-        self._counts["writes" if writing else "reads"] += 1
+        self._counts["writes" if is_write else "reads"] += 1
         response = self._serve(request, body)
-        if self._mode == "lose" and writing:
+        if self._mode == "lose" and is_write:
             request.transport.abort()
         return response
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/ports.py
@@ -1,19 +1,19 @@
-"""Ports of loopback for processes that are stopped and started again."""
+"""Reservation of loopback ports for processes that tests restart."""
 
 import socket
 
 
 class FreePorts:
-    """Ports that are kept for their processes as long as this object lives.
+    """Reserves ports for processes, for the lifetime of this object.
 
     Explanation
     ===========
 
-    A port that was only found free goes to anyone while its process is down: to
-    an outgoing connection, or to a second run of the tests.  The successor of a
-    killed process then could not listen, once in some dozens of runs beside
-    load.  So each port stays bound here, shared with listeners (who set
-    ``SO_REUSEADDR``) and closed to outgoing connections and to other probes.
+    A port that is free when probed can be taken while its process is down: by an
+    outgoing connection or by another test run.  A restarted process then fails
+    to listen; this happened once in some dozens of runs on a loaded machine.
+    Therefore each port stays bound here.  Listeners set ``SO_REUSEADDR`` and can
+    still use it; outgoing connections and other probes for a port can not.
 
     Examples
     ========
@@ -24,16 +24,16 @@
     """
 
     def __init__(self) -> None:
-        self._kept: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
     def reserve(self) -> int:
-        """Return a port, for TCP and UDP, not given out before."""
+        """Return a port for TCP and UDP that was not reserved before."""
         while True:
-            keeper = socket.socket()
-            keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            keeper.bind(("127.0.0.1", 0))
-            self._kept.append(keeper)
-            port = keeper.getsockname()[1]
+            holder = socket.socket()
+            holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            holder.bind(("127.0.0.1", 0))
+            self._sockets.append(holder)
+            port = holder.getsockname()[1]
             if _is_free_for_datagrams(port):
                 return port
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/processes.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/processes.py
@@ -1,4 +1,4 @@
-"""Entry point of the stand-ins' processes."""
+"""Entry point of a process that runs stand-ins, given as JSON on the command line."""
 
 import asyncio
 import json
@@ -11,17 +11,20 @@
 from rattanfork_testkit.upstream import UpstreamSpec, UpstreamStandIn
 
 
-async def _run(parts: list[dict]) -> None:
-    for part in parts:
-        kind = part.pop("kind")
+async def _run(specs: list[dict]) -> None:
+    for spec in specs:
+        kind = spec.pop("kind")
         if kind == "upstream":
-            await UpstreamStandIn(UpstreamSpec(**part)).start()
+            await UpstreamStandIn(UpstreamSpec(**spec)).start()
         elif kind == "forwarder":
-            await Forwarder(ForwarderSpec(**part)).start()
+            await Forwarder(ForwarderSpec(**spec)).start()
         elif kind == "platform":
-            await PlatformStandIn(**part).start()
+            await PlatformStandIn(**spec).start()
         else:
-            raise SystemExit(f"unknown stand-in {kind!r}")
+            raise SystemExit(
+                f"unknown kind of stand-in {kind!r}; "
+                "expected upstream, forwarder or platform"
+            )
     print("ready", flush=True)
     await asyncio.Event().wait()
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/scenario.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios on a cluster of their own, for tests."""
+"""Helpers for tests that run a scenario on a cluster of their own."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -9,8 +9,8 @@
 from rattanfork_testkit.cluster import Cluster
 
 
-def play(scenario: Callable[[Cluster], Awaitable[None]]) -> None:
-    """Run a scenario on a cluster of its own, and stop the cluster."""
+def run_scenario(scenario: Callable[[Cluster], Awaitable[None]]) -> None:
+    """Start a cluster, run a scenario on it, and stop the cluster."""
 
     async def run() -> None:
         async with Cluster() as cluster:
@@ -19,8 +19,8 @@
     uvloop.run(run())
 
 
-async def ask(method: str, url: str, **more: object) -> tuple[int, str, str]:
-    """Return status, outcome and body of one request."""
+async def send_request(method: str, url: str, **more: object) -> tuple[int, str, str]:
+    """Send a request; return its status, ``Rattanfork-Outcome`` header and body."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(method, url, **more) as response,
@@ -29,8 +29,8 @@
         return response.status, outcome, await response.text()
 
 
-async def posted(cluster: Cluster) -> Counter:
-    """Return how often each body was run."""
+async def count_posts(cluster: Cluster) -> Counter:
+    """Return how often the upstreams ran a POST, by its body."""
     runs: Counter = Counter()
     for node in cluster.nodes:
         answer = await cluster.get(f"{node.upstream_url}/-/ledger")
--- a/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that are started again."""
+"""A reserved port stays available to its process, and to no other."""
 
 import asyncio
 import socket
@@ -7,11 +7,10 @@
 from rattanfork_testkit.ports import FreePorts
 
 
-def test_a_port_is_kept_while_its_process_is_down():
-    """A node is killed, and before it is back somebody else wants a port.
+def test_reserved_port_can_be_reused_by_its_process_only():
+    """Guards against a port that is taken while its process restarts.
 
-    Whoever did not get the port from here is turned away; the node itself can
-    listen on it again.
+    Another socket can not bind the reserved port; a listener can, repeatedly.
     """
     ports = FreePorts()
     port = ports.reserve()
--- a/packages/rattanfork-testkit/rattanfork_testkit/upstream.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in for an upstream instance."""
+"""Test double of an upstream instance."""
 
 import asyncio
 import json
@@ -9,33 +9,33 @@
 import aiohttp
 from aiohttp import web
 
-_NOT_RUN = {"Rattanfork-Not-Run": "1"}
+_NOT_RUN_HEADERS = {"Rattanfork-Not-Run": "1"}
 _CONTEXT_HEADERS = ("Rattanfork-Context",)
-#: Headers that the children of a request keep without a node in between.
-_PLAIN_HEADERS = ("Rattanfork-Request-Id", "Rattanfork-Importance")
+#: Headers passed on to child calls if the request came without a node in between.
+_DIRECT_HEADERS = ("Rattanfork-Request-Id", "Rattanfork-Importance")
 
 
 @dataclass(slots=True)
 class UpstreamSpec:
-    """How a stand-in behaves.
+    """Capacity and behaviour of an upstream stand-in.
 
     Parameters
     ==========
 
     edge : str
-        Base URL through which it calls deeper services.
+        Base URL of the node through which it calls other services.
     admin : str
-        Base URL to which it announces itself, or "".
+        Admin URL of the node to which it announces itself; "" for none.
     queue : int
-        Requests that may wait for a slot inside the upstream.
+        Most requests that wait for a slot inside the upstream.
     sheds : bool
-        Whether it refuses beyond that, rather than waiting.
+        Whether requests beyond ``queue`` are refused instead of queued.
     deviation : float
-        Spread of service times, as a share of the mean.
+        Largest deviation of a service time, as a fraction of the mean.
     cold_seconds, cold_factor : float
-        How long and by how much it is slow after its start.
+        Duration of the cold start, and the factor on service times during it.
     announced_slots : int or None
-        Slots it claims to have, if not the truth.
+        Number of slots that it announces, if it differs from ``slots``.
     """
 
     service: str
@@ -56,15 +56,17 @@
 
 
 class UpstreamStandIn:
-    """An upstream with slots, a ledger, and faults that can be switched on.
+    """An upstream with a concurrency limit, a log of runs, and injected faults.
 
     Explanation
     ===========
 
-    The ledger lists everything that truly ran, in order, and is the truth
-    that tests judge by.  ``POST /-/control`` changes the behaviour while it
-    runs: ``slow`` multiplies service times, ``load_lie`` what the load
-    endpoint reports, ``load_lag`` delays it, ``leaving`` announces leaving.
+    The ledger records each request that ran, in order; tests compare the
+    results that callers got with it.  ``POST /-/control`` changes the behaviour
+    at run time: ``slow`` multiplies service times; ``load_lie`` multiplies the
+    load that ``/-/load`` reports, and ``load_lag`` delays it by some seconds;
+    ``silent`` stops announcements; ``leaving`` announces that the upstream
+    leaves; ``forget`` clears the ledger and the counts.
     """
 
     def __init__(self, spec: UpstreamSpec) -> None:
@@ -73,11 +75,11 @@
         self._slots = asyncio.Semaphore(spec.slots)
         self._waiting = 0
         self._running = 0
-        self._born = monotonic()
-        self._slow = 1.0
-        self._load_lie = 1.0
-        self._load_lag = 0.0
-        self._silent = False
+        self._started_at = monotonic()
+        self._slowdown = 1.0
+        self._load_factor = 1.0
+        self._load_delay_s = 0.0
+        self._announcements_off = False
         self._load_log: list[tuple[float, float]] = []
         self._ledger: list[dict] = []
         self._counts = {"arrived": 0, "shed": 0, "abandoned": 0, "completed": 0}
@@ -85,24 +87,26 @@
 
     @property
     def ledger(self) -> list[dict]:
-        """Everything that ran, in order."""
+        """Requests that ran, in order."""
         return self._ledger
 
     async def start(self) -> None:
-        """Listen, and announce again and again."""
+        """Start to listen, and to announce the upstream periodically."""
         connector = aiohttp.TCPConnector(limit=0)
         self._session = aiohttp.ClientSession(connector=connector)
         server = web.Server(self._handle, access_log=None, handler_cancellation=True)
         loop = asyncio.get_running_loop()
         await loop.create_server(server, "127.0.0.1", self._spec.port, backlog=1024)
         if self._spec.admin:
-            self._announcer = asyncio.ensure_future(self._announce_forever())
+            self._announce_task = asyncio.ensure_future(self._announce_periodically())
 
-    async def _announce_forever(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
-            if not self._silent:
+            if not self._announcements_off:
                 await self._announce(leaving=False)
-            await asyncio.sleep(1.0 if self._silent or self._announced else 0.1)
+            await asyncio.sleep(
+                1.0 if self._announcements_off or self._announced else 0.1
+            )
 
     _announced = False
 
@@ -129,7 +133,7 @@
         self._counts["arrived"] += 1
         if self._spec.sheds and self._waiting >= self._spec.queue:
             self._counts["shed"] += 1
-            return web.Response(status=503, headers=_NOT_RUN)
+            return web.Response(status=503, headers=_NOT_RUN_HEADERS)
         body = await request.read()
         self._waiting += 1
         try:
@@ -158,38 +162,38 @@
             "done": False,
         }
         self._ledger.append(entry)
-        await asyncio.sleep(self._work_time())
-        parts = []
+        await asyncio.sleep(self._service_time())
+        child_results = []
         for child in self._spec.children.get(operation, ()):
-            answer = await self._call_child(request, child)
-            if answer is None:
-                return web.Response(status=503, text="a deeper call failed")
-            parts.append(answer)
+            child_result = await self._call_child(request, child)
+            if child_result is None:
+                return web.Response(status=503, text="call to a child service failed")
+            child_results.append(child_result)
         entry["done"] = True
         self._counts["completed"] += 1
-        whole = {
+        result = {
             "service": self._spec.service,
             "operation": operation,
             "request_id": entry["request_id"],
             "echo": request.query.get("echo", ""),
-            "parts": parts,
+            "parts": child_results,
             "complete": True,
         }
-        return web.Response(text=json.dumps(whole), content_type="application/json")
+        return web.Response(text=json.dumps(result), content_type="application/json")
 
-    def _work_time(self) -> float:
+    def _service_time(self) -> float:
         spec = self._spec
         low, high = 1 - spec.deviation, 1 + spec.deviation
-        time = spec.service_time * self._random.uniform(low, high) * self._slow
-        if monotonic() - self._born < spec.cold_seconds:
+        time = spec.service_time * self._random.uniform(low, high) * self._slowdown
+        if monotonic() - self._started_at < spec.cold_seconds:
             time *= spec.cold_factor
         return time
 
     async def _call_child(self, request: web.BaseRequest, child: str) -> dict | None:
-        names = _CONTEXT_HEADERS
-        if names[0] not in request.headers:
-            names = _PLAIN_HEADERS
-        headers = {n: request.headers[n] for n in names if n in request.headers}
+        header_names = _CONTEXT_HEADERS
+        if header_names[0] not in request.headers:
+            header_names = _DIRECT_HEADERS
+        headers = {n: request.headers[n] for n in header_names if n in request.headers}
         try:
             async with self._session.get(
                 f"{self._spec.edge}/{child}", headers=headers
@@ -208,21 +212,23 @@
         if request.path == "/-/load":
             return web.json_response({"load": self._reported_load()})
         change = await request.json()
-        self._slow = change.get("slow", self._slow)
-        self._load_lie = change.get("load_lie", self._load_lie)
-        self._load_lag = change.get("load_lag", self._load_lag)
-        self._silent = change.get("silent", self._silent)
+        self._slowdown = change.get("slow", self._slowdown)
+        self._load_factor = change.get("load_lie", self._load_factor)
+        self._load_delay_s = change.get("load_lag", self._load_delay_s)
+        self._announcements_off = change.get("silent", self._announcements_off)
         if change.get("forget"):
             self._ledger.clear()
             self._counts = dict.fromkeys(self._counts, 0)
         if change.get("leaving"):
-            self._silent = True
+            self._announcements_off = True
             await self._announce(leaving=True)
         return web.json_response({"done": True})
 
     def _reported_load(self) -> float:
         now = monotonic()
-        load = (self._running + self._waiting) / self._spec.slots * self._load_lie
+        load = (self._running + self._waiting) / self._spec.slots * self._load_factor
         self._load_log.append((now, load))
-        old = [seen for at, seen in self._load_log if at <= now - self._load_lag]
-        return old[-1] if old else 0.0
+        reported = [
+            value for at, value in self._load_log if at <= now - self._load_delay_s
+        ]
+        return reported[-1] if reported else 0.0
