--- a/packages/rattanfork-cli/rattanfork_cli/__init__.py
+++ b/packages/rattanfork-cli/rattanfork_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command ``rattanfork`` for operators."""
+"""The operators' command line ``rattanfork``."""
--- a/packages/rattanfork-cli/rattanfork_cli/burn_page.py
+++ b/packages/rattanfork-cli/rattanfork_cli/burn_html.py
@@ -1,4 +1,4 @@
-"""The burn report as a page that needs nothing else."""
+"""Burn rate report as a self-contained HTML page."""
 
 from html import escape
 
@@ -10,34 +10,42 @@
 td, th { border: 1px solid #ccc; padding: .3em .7em; text-align: left }
 text { font: 12px sans-serif }
 """
-_WINDOWS = ("5 min", "1 h", "6 h")
-_BAR_WIDTH = 300
+_WINDOW_NAMES = ("5 min", "1 h", "6 h")
+_MAX_BAR_WIDTH_PX = 300
 
 
-def burn_page(lines: list[BurnLine], unknown: dict[str, object]) -> str:
-    """Return the report as HTML with a plot for each objective.
+def render_burn_report(lines: list[BurnLine], unknown: dict[str, object]) -> str:
+    """Return the report as HTML, with a bar chart for each objective.
+
+    Parameters
+    ==========
+
+    unknown : dict
+        Notes below the charts, on what the report does not cover.
 
     Examples
     ========
 
     >>> line = BurnLine("claims", "all", 0.9, 9, (2.0, 1.0, 0.5), 0.5, None, ())
-    >>> page = burn_page([line], {})
+    >>> page = render_burn_report([line], {})
     >>> page.count("<svg"), "claims" in page
     (1, True)
     """
-    parts = [_section(line) for line in lines] or ["<p>The rules state none.</p>"]
+    parts = [_render_objective(line) for line in lines] or [
+        "<p>There are no objectives.</p>"
+    ]
     notes = "".join(
         f"<p>{escape(str(key))}: {escape(str(value))}</p>"
         for key, value in unknown.items()
     )
     return (
-        "<!doctype html><meta charset=utf-8><title>Burn of objectives</title>"
-        f"<style>{_STYLE}</style><h1>Burn of objectives</h1>"
+        "<!doctype html><meta charset=utf-8><title>Burn rate of objectives</title>"
+        f"<style>{_STYLE}</style><h1>Burn rate of objectives</h1>"
         f"{''.join(parts)}{notes}\n"
     )
 
 
-def _section(line: BurnLine) -> str:
+def _render_objective(line: BurnLine) -> str:
     title = escape(f"{line.service} ({line.importance})")
     rows = "".join(
         f"<tr><td>{escape(rule or 'no rule')}<td>{count}"
@@ -46,15 +54,15 @@
     spent = f"<table><tr><th>spent by<th>requests{rows}</table>" if rows else ""
     return (
         f"<h2>{title}</h2><p>target {line.target:.3%}, {line.requests} requests, "
-        f"budget left {line.budget_left:.1%}</p>{_plot(line)}{spent}"
+        f"budget left {line.budget_left:.1%}</p>{_render_bars(line)}{spent}"
     )
 
 
-def _plot(line: BurnLine) -> str:
-    top = max(2.0, *line.burn)
+def _render_bars(line: BurnLine) -> str:
+    axis_end = max(2.0, *line.burn)
     bars = []
-    for i, (name, rate) in enumerate(zip(_WINDOWS, line.burn, strict=True)):
-        width = _BAR_WIDTH * rate / top
+    for i, (name, rate) in enumerate(zip(_WINDOW_NAMES, line.burn, strict=True)):
+        width = _MAX_BAR_WIDTH_PX * rate / axis_end
         colour = "#c33" if rate > 1 else "#396"
         y = 10 + 24 * i
         bars.append(
@@ -62,6 +70,6 @@
             f'<rect x="50" y="{y}" width="{width:.1f}" height="18" fill="{colour}"/>'
             f'<text x="{55 + width:.1f}" y="{y + 13}">{rate:.2f}</text>'
         )
-    limit = 50 + _BAR_WIDTH / top
-    mark = f'<line x1="{limit}" x2="{limit}" y1="4" y2="84" stroke="#333"/>'
-    return f'<svg width="420" height="90">{"".join(bars)}{mark}</svg>'
+    limit_x = 50 + _MAX_BAR_WIDTH_PX / axis_end
+    limit_line = f'<line x1="{limit_x}" x2="{limit_x}" y1="4" y2="84" stroke="#333"/>'
+    return f'<svg width="420" height="90">{"".join(bars)}{limit_line}</svg>'
--- a/packages/rattanfork-cli/rattanfork_cli/commands/__init__.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Groups of commands."""
+"""The commands, one module for each group."""
--- a/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
@@ -1,4 +1,4 @@
-"""The command that shows client accounts."""
+"""The command ``accounts``, which shows client accounts."""
 
 import asyncio
 from collections import Counter
@@ -10,7 +10,7 @@
 from rattanfork_platform.connect import connect_platform, read_configuration
 
 from rattanfork_cli.exits import BAD_INPUT, FAILED
-from rattanfork_cli.log_files import LogFiles, log_texts
+from rattanfork_cli.log_files import LogFiles, read_log_lines
 from rattanfork_cli.options import AsJson, Platform
 from rattanfork_cli.output import fail, print_json, print_table
 
@@ -18,28 +18,28 @@
 def show_accounts(
     platform: Platform, files: LogFiles = None, as_json: AsJson = False
 ) -> None:
-    """Show client accounts: priority, limits, number of keys; never a key.
+    """Show client accounts: priority, rate limit and number of keys, but no key.
 
-    With logs of nodes, also how often each account was refused, by reason.  Exit
-    status 1 if the configuration has no accounts.
+    Given log files of nodes, it also counts the refused requests of each account
+    by reason.  Exit status 1 if the configuration has no accounts.
 
     Example: rattanfork accounts *.log
     """
-    version, index = _read(platform)
+    version, index = _read_accounts(platform)
     if index is None:
-        raise fail(f"configuration {version}: it has no accounts", FAILED)
-    refused = _count_refused(read_lines(log_texts(files))) if files else {}
+        raise fail(f"configuration {version} has no accounts", FAILED)
+    refused = _count_refused(read_lines(read_log_lines(files))) if files else {}
     accounts = sorted(index.accounts.values(), key=lambda account: account.name)
     if as_json:
-        entries = [_as_map(a, index, refused.get(a.name, {})) for a in accounts]
+        entries = [_to_json(a, index, refused.get(a.name, {})) for a in accounts]
         print_json({"configuration": version, "accounts": entries})
         return
-    columns = ["account", "priority", "a second", "burst", "keys", "refused"]
-    rows = [_row(a, index, refused.get(a.name, {})) for a in accounts]
+    columns = ["account", "priority", "rate/s", "burst", "keys", "refused"]
+    rows = [_table_row(a, index, refused.get(a.name, {})) for a in accounts]
     print_table(f"Accounts of configuration {version}", columns, rows)
 
 
-def _read(url: str) -> tuple[int, AccountIndex | None]:
+def _read_accounts(url: str) -> tuple[int, AccountIndex | None]:
     async def read() -> tuple[int, AccountIndex | None]:
         platform = connect_platform(url)
         try:
@@ -53,7 +53,9 @@
     try:
         return asyncio.run(read())
     except PlatformDownError as error:
-        raise fail(f"the platform does not answer: {error}", FAILED) from None
+        raise fail(
+            f"the platform does not respond: {error}; check --platform", FAILED
+        ) from None
     except ValueError as error:
         raise fail(str(error), BAD_INPUT) from None
 
@@ -68,15 +70,15 @@
     return refused
 
 
-def _row(account: ClientAccount, index: AccountIndex, refused: Counter) -> list:
+def _table_row(account: ClientAccount, index: AccountIndex, refused: Counter) -> list:
     reasons = ", ".join(f"{reason} {n}" for reason, n in sorted(refused.items()))
-    priority = "of the route" if account.priority is None else account.priority
+    priority = "as the route" if account.priority is None else account.priority
     rate = f"{account.rate:g}" if account.limited else "no limit"
     burst = f"{account.burst:g}" if account.limited else ""
     return [account.name, priority, rate, burst, index.keys_of(account.name), reasons]
 
 
-def _as_map(account: ClientAccount, index: AccountIndex, refused: Counter) -> dict:
+def _to_json(account: ClientAccount, index: AccountIndex, refused: Counter) -> dict:
     return {
         "name": account.name,
         "priority": account.priority,
--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells how a request would be treated."""
+"""The command ``explain``, which shows how a request would be handled."""
 
 import asyncio
 from typing import Annotated
@@ -24,49 +24,51 @@
 
 
 def explain_request(
-    host: Annotated[str, typer.Argument(help="Host that the request names.")],
-    path: Annotated[str, typer.Argument(help="Its path.")],
+    host: Annotated[str, typer.Argument(help="Host of the request.")],
+    path: Annotated[str, typer.Argument(help="Path of the request.")],
     platform: Platform,
     method: str = "GET",
-    caller: Annotated[str, typer.Option(help="Service that the caller is of.")] = "",
-    data_centre: Annotated[str, typer.Option(help="Where the caller is.")] = "",
-    load: Annotated[float, typer.Option(help="Pressure: 0 for none, 1 for all.")] = 0.0,
+    caller: Annotated[str, typer.Option(help="Service of the caller.")] = "",
+    data_centre: Annotated[str, typer.Option(help="Data centre of the caller.")] = "",
+    load: Annotated[
+        float, typer.Option(help="Load: 0 admits all requests, 1 none.")
+    ] = 0.0,
     as_json: AsJson = False,
 ) -> None:
-    """Show which route takes a request, which rule decides it, and the outcome.
+    """Show the route and the rule that apply to a request, and their effect.
 
-    Both are read from the platform, as accepted.  Exit status 1 if no route
-    takes the request.
+    The accepted routes and rules are read from the platform.  Exit status 1 if no
+    route matches the request.
 
     Example: rattanfork explain shop.example /receipts/7 --caller claims
     """
-    configuration, record = _read(platform)
+    configuration, record = _read_platform(platform)
     route = None
     if configuration is not None:
         route = configuration.table.find(host.lower(), path.partition("?")[0])
     if route is None:
         version = configuration.version if configuration is not None else 0
-        raise fail(f"configuration {version}: no route takes {host}{path}", FAILED)
+        raise fail(f"configuration {version}: no route matches {host}{path}", FAILED)
     rules = load_rules(record.text, f"revision {record.revision}")
-    answers = []
+    results = []
     for share in route.services:
         facts = facts_of_route(route, share.service, method, caller, data_centre, load)
-        found = explain(rules, facts)
-        answers.append((share.service, found, rule_on(route, found.rule)))
+        explanation = explain(rules, facts)
+        results.append((share.service, explanation, rule_on(route, explanation.rule)))
     if as_json:
         print_json(
             {
                 "configuration": configuration.version,
                 "revision": record.revision,
                 "route": route.name,
-                "services": {s: _as_map(f, r) for s, f, r in answers},
+                "services": {s: _to_json(f, r) for s, f, r in results},
             }
         )
         return
-    _print(configuration, record, route, answers)
+    _print_text(configuration, record, route, results)
 
 
-def _read(url: str) -> tuple[Configuration | None, RulesRecord]:
+def _read_platform(url: str) -> tuple[Configuration | None, RulesRecord]:
     async def read() -> tuple[Configuration | None, RulesRecord]:
         platform = connect_platform(url)
         try:
@@ -78,54 +80,62 @@
     try:
         return asyncio.run(read())
     except PlatformDownError as error:
-        raise fail(f"the platform does not answer: {error}", FAILED) from None
+        raise fail(
+            f"the platform does not respond: {error}; check --platform", FAILED
+        ) from None
     except ValueError as error:
         raise fail(str(error), BAD_INPUT) from None
 
 
-def _print(
+def _print_text(
     configuration: Configuration,
     record: RulesRecord,
     route: Route,
-    answers: list[tuple[str, Explanation, Ruling]],
+    results: list[tuple[str, Explanation, Ruling]],
 ) -> None:
     print(f"configuration {configuration.version}: route {route.name}")
-    print(f"  {route.host}{route.prefix}, {_kind(route)}")
+    print(f"  {route.host}{route.prefix}, {_describe_idempotence(route)}")
     total = sum(share.weight for share in route.services)
-    for share, (service, found, ruling) in zip(route.services, answers, strict=True):
+    for share, (service, explanation, ruling) in zip(
+        route.services, results, strict=True
+    ):
         print(f"  service {service}, {share.weight / total:.0%} of the requests")
-        for name, failures in found.passed_over:
+        for name, failures in explanation.passed_over:
             print(f"    passed over {name}: {'; '.join(failures)}")
-        print(f"    revision {record.revision}: {_rule(ruling)}")
-        print(f"    {_treatment(ruling)}")
+        print(f"    revision {record.revision}: {_describe_rule(ruling)}")
+        print(f"    {_describe_effect(ruling)}")
 
 
-def _kind(route: Route) -> str:
+def _describe_idempotence(route: Route) -> str:
     return "idempotent" if route.idempotent else "not idempotent"
 
 
-def _rule(ruling: Ruling) -> str:
-    return "no rule; the route holds" if ruling.rule == "-" else f"rule {ruling.rule}"
+def _describe_rule(ruling: Ruling) -> str:
+    return (
+        "no rule matches; the route applies"
+        if ruling.rule == "-"
+        else f"rule {ruling.rule}"
+    )
 
 
-def _treatment(ruling: Ruling) -> str:
+def _describe_effect(ruling: Ruling) -> str:
     if ruling.refuse_after is not None:
-        return f"refused, to come back after {ruling.refuse_after:g} s"
+        return f"refused with Retry-After {ruling.refuse_after:g} s"
     route = ruling.route
     place = f", only in {ruling.data_centre}" if ruling.data_centre else ""
     return (
         f"importance {route.priority}, {route.timeout:g} s, at most "
-        f"{route.most_upstreams} instances, {_kind(route)}{place}"
+        f"{route.most_upstreams} instances, {_describe_idempotence(route)}{place}"
     )
 
 
-def _as_map(found: Explanation, ruling: Ruling) -> dict[str, object]:
+def _to_json(explanation: Explanation, ruling: Ruling) -> dict[str, object]:
     route = ruling.route
     return {
         "rule": None if ruling.rule == "-" else ruling.rule,
         "passed_over": [
             {"rule": name, "because": list(failures)}
-            for name, failures in found.passed_over
+            for name, failures in explanation.passed_over
         ],
         "refuse_after": ruling.refuse_after,
         "importance": route.priority,
--- a/packages/rattanfork-cli/rattanfork_cli/commands/logs.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/logs.py
@@ -1,4 +1,4 @@
-"""Commands on the lines that nodes have written."""
+"""Commands that evaluate the logs of nodes."""
 
 from typing import Annotated
 
@@ -6,11 +6,11 @@
 from rattanfork_core.trace import count_reasons, read_lines, tell_story
 
 from rattanfork_cli.exits import BAD_INPUT, FAILED
-from rattanfork_cli.log_files import LogFiles, log_texts, time_of_day
+from rattanfork_cli.log_files import LogFiles, format_time_of_day, read_log_lines
 from rattanfork_cli.options import AsJson
 from rattanfork_cli.output import fail, print_json, print_table
 
-app = typer.Typer(no_args_is_help=True, help="Sum up the logs of nodes.")
+app = typer.Typer(no_args_is_help=True, help="Summarize the logs of nodes.")
 
 
 def trace(
@@ -18,18 +18,18 @@
     files: LogFiles = None,
     as_json: AsJson = False,
 ) -> None:
-    """Tell the story of one request, with its calls, from the logs of nodes.
+    """Show the steps of a request and its calls, from the logs of nodes.
 
-    Lines of several nodes are put in order by their time of day, which may
-    differ between nodes by seconds.  Exit status 1 if no line tells of it.
+    Lines are sorted by the clock of the node that wrote them; clocks may differ
+    by seconds.  Exit status 1 if no line mentions the request.
 
     Example: rattanfork trace 9c41d07be2a35f68 claims-1.log donors-2.log
     """
-    steps = tell_story(request_id, read_lines(log_texts(files)))
+    steps = tell_story(request_id, read_lines(read_log_lines(files)))
     if not steps:
         raise fail(
-            f"no line tells of {request_id!r}; it may have been left out under "
-            "load, see 'rattanfork logs summary'",
+            f"no log line mentions request {request_id!r}; nodes drop log lines "
+            "under load, see 'rattanfork logs summary'",
             FAILED,
         )
     if as_json:
@@ -42,23 +42,25 @@
         return
     for step in steps:
         indent = "  " * step.depth
-        print(f"{time_of_day(step.at)}  {step.instance}  {indent}{step.text}")
+        print(f"{format_time_of_day(step.at)}  {step.instance}  {indent}{step.text}")
 
 
 @app.command()
 def summary(
     files: LogFiles = None,
-    every: Annotated[float, typer.Option(help="Seconds of each span.")] = 10.0,
+    every: Annotated[
+        float, typer.Option(help="Length of a time span in seconds.")
+    ] = 10.0,
     as_json: AsJson = False,
 ) -> None:
-    """Count how requests and runs ended, by route and reason over time.
+    """Count the outcomes of requests and runs by time span, route and reason.
 
-    Lines that nodes left out under load are counted at the end.
+    The number of log lines that nodes dropped under load follows at the end.
 
     Example: rattanfork logs summary --every 5 *.log
     """
     try:
-        counts, left_out = count_reasons(read_lines(log_texts(files)), every)
+        counts, left_out = count_reasons(read_lines(read_log_lines(files)), every)
     except ValueError as error:
         raise fail(f"--every: {error}", BAD_INPUT) from None
     if as_json:
@@ -67,9 +69,9 @@
         return
     columns = ["from", "kind", "route", "outcome", "reason", "lines"]
     rows = [
-        [time_of_day(c.begins), c.kind, c.route, c.outcome, c.reason, c.count]
+        [format_time_of_day(c.begins), c.kind, c.route, c.outcome, c.reason, c.count]
         for c in counts
     ]
-    print_table("Ends of requests", columns, rows)
+    print_table("Outcomes of requests", columns, rows)
     for kind, count in sorted(left_out.items()):
         print(f"lines left out, {kind}: {count}")
--- a/packages/rattanfork-cli/rattanfork_cli/commands/report.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/report.py
@@ -1,4 +1,4 @@
-"""Reports."""
+"""Commands that report on all nodes: burn rates and lost requests."""
 
 from pathlib import Path
 from typing import Annotated
@@ -8,14 +8,14 @@
 from rattanfork_core.rules import ObjectiveModel
 from rattanfork_core.trace import LossReport, count_losses, read_lines
 
-from rattanfork_cli.burn_page import burn_page
+from rattanfork_cli.burn_html import render_burn_report
 from rattanfork_cli.exits import BAD_INPUT, FAILED
-from rattanfork_cli.http import ask_node
-from rattanfork_cli.log_files import LogFiles, log_texts, time_of_day
+from rattanfork_cli.http import call_admin_api
+from rattanfork_cli.log_files import LogFiles, format_time_of_day, read_log_lines
 from rattanfork_cli.options import AsJson, Node
 from rattanfork_cli.output import fail, print_json, print_table
 
-app = typer.Typer(no_args_is_help=True, help="Reports over the fleet.")
+app = typer.Typer(no_args_is_help=True, help="Reports on all nodes.")
 
 
 @app.command()
@@ -23,26 +23,26 @@
     node: Node = "",
     metrics: Annotated[
         list[str] | None,
-        typer.Option(help="Address of a node's metrics; once for each node."),
+        typer.Option(help="Address of the metrics of a node; repeat for each node."),
     ] = None,
     target: Annotated[
         float,
         typer.Option(
-            help="With --metrics: share of requests to be answered in time.",
+            help="With --metrics: fraction of requests to succeed in time.",
             min=0.0,
             max=0.999999,
         ),
     ] = 0.99,
     as_json: AsJson = False,
     html: Annotated[
-        Path | None, typer.Option(help="Write a page with plots to this file.")
+        Path | None, typer.Option(help="Write an HTML page with charts to this file.")
     ] = None,
 ) -> None:
-    """Show how fast service-level objectives are spent.
+    """Show the burn rates of the error budgets of service-level objectives.
 
-    A burn of 1 spends the budget exactly by the end of the window.  With
-    --node, objectives are those of the rules.  With --metrics, each route is an
-    objective: callers' requests answered with success within its latency
+    At a burn rate of 1 the budget is used up exactly at the end of the window.
+    With --node, the objectives are those of the rules.  With --metrics, each
+    route is an objective: requests of callers that succeed within its latency
     objective; the last column names the nodes that saw the others.
 
     Example: rattanfork report burn --html burn.html
@@ -50,21 +50,23 @@
     Example: rattanfork report burn --metrics 10.1.0.8:9464 --target 0.995
     """
     if metrics:
-        lines, unknown = _by_routes(metrics, target)
+        lines, unknown = _burn_by_route(metrics, target)
     elif node:
-        lines, unknown = _by_rules(node)
+        lines, unknown = _burn_by_rules(node)
     else:
         raise fail("--node or --metrics is needed", BAD_INPUT)
     if html is not None:
-        html.write_text(burn_page(lines, unknown))
+        html.write_text(render_burn_report(lines, unknown))
     if as_json:
-        print_json({"objectives": [_as_map(line) for line in lines], **unknown})
+        print_json({"objectives": [_to_json(line) for line in lines], **unknown})
         return
     columns = ["service", "importance", "target", "requests"]
-    columns += ["5m", "1h", "6h", "budget left", "gone in", "spent by"]
+    columns += ["5m", "1h", "6h", "budget left", "used up in", "used by"]
     if metrics:
         columns[0] = "route"
-    print_table("Burn of objectives", columns, [_row(line) for line in lines])
+    print_table(
+        "Burn rate of objectives", columns, [_table_row(line) for line in lines]
+    )
     for key, value in unknown.items():
         print(f"{key}: {value}")
 
@@ -72,34 +74,38 @@
 @app.command()
 def losses(
     files: LogFiles = None,
-    every: Annotated[float, typer.Option(help="Seconds of each span.")] = 1.0,
+    every: Annotated[
+        float, typer.Option(help="Length of a time span in seconds.")
+    ] = 1.0,
     as_json: AsJson = False,
     plot: Annotated[
         Path | None,
-        typer.Option(help="Write a plot over time to this file; needs matplotlib."),
+        typer.Option(help="Write a chart over time to this file; needs matplotlib."),
     ] = None,
 ) -> None:
-    """Say why callers' requests were not answered whole and in their objective.
+    """Count the requests that failed or missed their latency objective, by cause.
 
-    Each such request counts once, at the node of its caller.  For those that
-    were late, the mean time by part follows.  What nodes left out under load is
-    counted at the end; it is lost to this report.
+    Each lost request counts once, at the node that took it from its caller.  For
+    late requests, the mean time per part of the path follows.  Log lines that
+    nodes dropped under load are missing from the report; their number follows.
 
     Example: rattanfork report losses --every 5 --plot losses.png *.log
     """
     try:
-        report = count_losses(read_lines(log_texts(files)), every)
+        report = count_losses(read_lines(read_log_lines(files)), every)
     except ValueError as error:
         raise fail(f"--every: {error}", BAD_INPUT) from None
     if plot is not None:
         _plot_losses(report, plot)
     if as_json:
         entries = [{n: getattr(x, n) for n in x.__slots__} for x in report.losses]
-        rest = {n: getattr(report, n) for n in ("lost", "counted", "late", "left_out")}
-        print_json({"losses": entries, **rest})
+        totals = {
+            n: getattr(report, n) for n in ("lost", "counted", "late", "left_out")
+        }
+        print_json({"losses": entries, **totals})
         return
     rows = [
-        [time_of_day(x.begins), x.route, x.cause, x.place, x.count]
+        [format_time_of_day(x.begins), x.route, x.cause, x.place, x.count]
         for x in report.losses
     ]
     print_table(
@@ -108,48 +114,48 @@
     for key, count in report.counted.items():
         print(f"counted by the nodes, {key}: {count}")
     for route, parts in report.late.items():
-        told = ", ".join(f"{part} {seconds:.3f}" for part, seconds in parts.items())
-        print(f"late on {route}, mean seconds: {told}")
+        times = ", ".join(f"{part} {seconds:.3f}" for part, seconds in parts.items())
+        print(f"late on {route}, mean seconds: {times}")
     for kind, count in sorted(report.left_out.items()):
         print(f"lines left out, {kind}: {count}")
 
 
 def _plot_losses(report: LossReport, path: Path) -> None:
-    # Imported late: plots are an extra, and no other command needs them.
+    # Imported here because matplotlib is an optional dependency.
     try:
-        from rattanfork_cli.loss_plot import draw_losses
+        from rattanfork_cli.loss_plot import plot_losses
     except ImportError:
         raise fail(
             "--plot needs matplotlib: pip install 'rattanfork-cli[plot]'", BAD_INPUT
         ) from None
-    draw_losses(report, path)
+    plot_losses(report, path)
 
 
-def _by_rules(node: str) -> tuple[list[BurnLine], dict[str, object]]:
-    answer = ask_node(node, "/burn")
+def _burn_by_rules(node: str) -> tuple[list[BurnLine], dict[str, object]]:
+    answer = call_admin_api(node, "/burn")
     objectives = [ObjectiveModel(**entry) for entry in answer["objectives"]]
     lines = burn_report(objectives, [tuple(t) for t in answer["totals"]])
-    return lines, _unknown(answer["answered"], answer["members"])
+    return lines, _describe_coverage(answer["answered"], answer["members"])
 
 
-def _by_routes(
+def _burn_by_route(
     addresses: list[str], target: float
 ) -> tuple[list[BurnLine], dict[str, object]]:
-    # Imported late: the parser of metrics is needed here only.
-    from rattanfork_cli.scraped import scrape_objectives
+    # Imported here to keep the other commands from loading the metrics parser.
+    from rattanfork_cli.objective_metrics import fetch_objective_totals
 
-    totals, silent = scrape_objectives(addresses)
-    if len(silent) == len(addresses):
-        raise fail(f"no metrics from {', '.join(silent)}", FAILED)
+    totals, unanswered = fetch_objective_totals(addresses)
+    if len(unanswered) == len(addresses):
+        raise fail(f"no metrics from {', '.join(unanswered)}; check --metrics", FAILED)
     routes = sorted({entry[0] for entry in totals})
     objectives = [ObjectiveModel(service=name, target=target) for name in routes]
-    unknown = _unknown(len(addresses) - len(silent), len(addresses))
-    if silent:
-        unknown["did not answer"] = ", ".join(silent)
+    unknown = _describe_coverage(len(addresses) - len(unanswered), len(addresses))
+    if unanswered:
+        unknown["did not answer"] = ", ".join(unanswered)
     return burn_report(objectives, totals), unknown
 
 
-def _unknown(answered: int, asked: int) -> dict[str, object]:
+def _describe_coverage(answered: int, asked: int) -> dict[str, object]:
     return {
         "nodes counted": f"{answered} of {asked}",
         "not known": (
@@ -159,9 +165,11 @@
     }
 
 
-def _row(line: BurnLine) -> list[object]:
-    gone = "-" if line.exhausted_in is None else f"{line.exhausted_in / 3600:.1f} h"
-    spent = ", ".join(f"{rule or 'no rule'} {n}" for rule, n in line.spenders)
+def _table_row(line: BurnLine) -> list[object]:
+    exhausted_in = (
+        "-" if line.exhausted_in is None else f"{line.exhausted_in / 3600:.1f} h"
+    )
+    spenders = ", ".join(f"{rule or 'no rule'} {n}" for rule, n in line.spenders)
     return [
         line.service,
         line.importance,
@@ -169,10 +177,10 @@
         line.requests,
         *(f"{rate:.2f}" for rate in line.burn),
         f"{line.budget_left:.1%}",
-        gone,
-        spent or "-",
+        exhausted_in,
+        spenders or "-",
     ]
 
 
-def _as_map(line: BurnLine) -> dict[str, object]:
+def _to_json(line: BurnLine) -> dict[str, object]:
     return {name: getattr(line, name) for name in BurnLine.__slots__}
--- a/packages/rattanfork-cli/rattanfork_cli/commands/rules.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/rules.py
@@ -1,4 +1,4 @@
-"""Commands on the rules."""
+"""Commands that show and change the rules."""
 
 import asyncio
 import difflib
@@ -14,21 +14,23 @@
 
 from rattanfork_cli.documents import dump_rules, load_or_exit, read_text
 from rattanfork_cli.exits import BAD_INPUT, CONFLICT, FAILED
-from rattanfork_cli.http import ask_node
+from rattanfork_cli.http import call_admin_api
 from rattanfork_cli.options import AsJson, Author, Comment, File, Node, Platform
 from rattanfork_cli.output import fail, print_json, print_table
 from rattanfork_cli.rules_store import RulesStore
 
-app = typer.Typer(no_args_is_help=True, help="Write, reorder and retire rules.")
+app = typer.Typer(no_args_is_help=True, help="Check, apply, reorder and retire rules.")
 
 Answer = TypeVar("Answer")
 Expected = Annotated[
     int | None,
-    typer.Option(help="Refuse unless this revision is the accepted one."),
+    typer.Option(help="Fail unless this revision is the accepted one."),
 ]
 
 
-def _with_store(url: str, work: Callable[[RulesStore], Awaitable[Answer]]) -> Answer:
+def _run_with_store(
+    url: str, work: Callable[[RulesStore], Awaitable[Answer]]
+) -> Answer:
     async def run() -> Answer:
         try:
             platform = connect_platform(url)
@@ -42,10 +44,12 @@
     try:
         return asyncio.run(run())
     except PlatformDownError as error:
-        raise fail(f"the table does not answer: {error}", FAILED) from None
+        raise fail(
+            f"the table does not answer: {error}; check --platform", FAILED
+        ) from None
 
 
-def _report(result: Result[RulesRecord, CommitOutcome]) -> None:
+def _report_commit(result: Result[RulesRecord, CommitOutcome]) -> None:
     if isinstance(result, Success):
         record = result.unwrap()
         print(f"accepted: revision {record.revision}")
@@ -53,17 +57,19 @@
     outcome = result.failure()
     if outcome.status is CommitStatus.UNKNOWN:
         raise fail(
-            "not settled: the table stopped answering, and the change may be "
-            "accepted; see 'rattanfork rules history'",
+            "unknown result: the table stopped responding, and the change may have "
+            "been accepted; see 'rattanfork rules history'",
             FAILED,
         )
-    other = outcome.record
-    theirs = (
-        f"revision {other.revision} by {other.author or 'nobody'}: {other.comment}"
-        if other
+    head = outcome.record
+    accepted = (
+        f"revision {head.revision} by {head.author or 'unknown'}: {head.comment}"
+        if head
         else "another revision"
     )
-    raise fail(f"conflict: {theirs} was accepted first; nothing changed", CONFLICT)
+    raise fail(
+        f"conflict: {accepted} was accepted first; nothing was changed", CONFLICT
+    )
 
 
 def _change(
@@ -73,12 +79,14 @@
     comment: str,
     expected: int | None,
 ) -> None:
-    _report(_with_store(url, lambda s: s.change(edit, author, comment, expected)))
+    _report_commit(
+        _run_with_store(url, lambda s: s.change(edit, author, comment, expected))
+    )
 
 
 @app.command()
 def check(file: File) -> None:
-    """Check a document of rules and change nothing.
+    """Validate a rules file without applying it.
 
     Example: rattanfork rules check rules.yaml
     """
@@ -94,7 +102,7 @@
     comment: Comment = "",
     expected: Expected = None,
 ) -> None:
-    """Commit a document of rules; "accepted" means committed.
+    """Replace the accepted rules by a file; prints "accepted" once committed.
 
     Example: rattanfork rules apply rules.yaml --expected 4 -m "shed browsing"
     """
@@ -105,13 +113,13 @@
 
 @app.command()
 def diff(file: File, platform: Platform) -> None:
-    """Show how a document differs from the accepted rules.
+    """Show the differences between the accepted rules and a file.
 
-    Exit status 0 whether or not it differs.
+    The exit status is 0 also if there are differences.
     """
     text = read_text(file)
     load_or_exit(text, RulesDocument, str(file))
-    _, head = _with_store(platform, lambda s: s.head())
+    _, head = _run_with_store(platform, lambda s: s.head())
     old, new = head.text.splitlines(), text.splitlines()
     names = (f"revision {head.revision}", str(file))
     for line in difflib.unified_diff(old, new, *names, lineterm=""):
@@ -125,10 +133,10 @@
     async def work(store: RulesStore) -> list[RulesRecord]:
         _, head = await store.head()
         numbers = range(head.revision, max(0, head.revision - count), -1)
-        found = [await store.revision(number) for number in numbers]
-        return [record for record in found if record is not None]
+        revisions = [await store.revision(number) for number in numbers]
+        return [record for record in revisions if record is not None]
 
-    records = _with_store(platform, work)
+    records = _run_with_store(platform, work)
     if as_json:
         print_json([record.as_row() for record in records])
         return
@@ -138,20 +146,23 @@
 
 @app.command()
 def show(platform: Platform, revision: int | None = None) -> None:
-    """Print the accepted rules, or a past revision."""
+    """Print the accepted rules, or those of a past revision."""
 
     async def work(store: RulesStore) -> RulesRecord | None:
         if revision is None:
             return (await store.head())[1]
         return await store.revision(revision)
 
-    record = _with_store(platform, work)
+    record = _run_with_store(platform, work)
     if record is None:
-        raise fail(f"there is no revision {revision}", BAD_INPUT)
+        raise fail(
+            f"revision {revision} does not exist; see 'rattanfork rules history'",
+            BAD_INPUT,
+        )
     print(record.text, end="")
 
 
-def _edit(change: Callable[[RulesDocument], RulesDocument]) -> Callable:
+def _make_edit(change: Callable[[RulesDocument], RulesDocument]) -> Callable:
     def edit(head: RulesRecord) -> str:
         document = load_or_exit(head.text, RulesDocument, f"revision {head.revision}")
         try:
@@ -171,11 +182,11 @@
     comment: Comment = "",
     expected: Expected = None,
 ) -> None:
-    """Put a rule at another position, counted from 1.
+    """Move a rule to another position, counted from 1.
 
     Example: rattanfork rules move shed-browsing 1
     """
-    edit = _edit(lambda document: move_rule(document, name, position))
+    edit = _make_edit(lambda document: move_rule(document, name, position))
     comment = comment or f"move {name} to {position}"
     _change(platform, edit, author, comment, expected)
 
@@ -188,16 +199,16 @@
     comment: Comment = "",
     expected: Expected = None,
 ) -> None:
-    """Take a rule out."""
-    edit = _edit(lambda document: retire_rule(document, name))
+    """Remove a rule."""
+    edit = _make_edit(lambda document: retire_rule(document, name))
     _change(platform, edit, author, comment or f"retire {name}", expected)
 
 
 @app.command()
 def explain(
     node: Node,
-    service: Annotated[str, typer.Option(help="The service called.")],
-    operation: Annotated[str, typer.Option(help="The operation called.")],
+    service: Annotated[str, typer.Option(help="Service that is called.")],
+    operation: Annotated[str, typer.Option(help="Operation that is called.")],
     caller: str = "",
     importance: str = "normal",
     method: str = "GET",
@@ -206,11 +217,11 @@
     attempt: int = 1,
     as_json: AsJson = False,
 ) -> None:
-    """Show which rule takes a request at a node, and why earlier ones don't.
+    """Show the rule that a node applies to a request, and why earlier ones do not.
 
     Example: rattanfork rules explain --service receipts --operation browse
     """
-    answer = ask_node(
+    answer = call_admin_api(
         node,
         "/explain",
         service=service,
@@ -227,18 +238,18 @@
         return
     for entry in answer["passed_over"]:
         print(f"passed over {entry['rule']}: {'; '.join(entry['because'])}")
-    rule = answer["rule"] or "no rule; the defaults hold"
+    rule = answer["rule"] or "no rule matches; the defaults apply"
     print(f"revision {answer['revision']}: {rule}")
 
 
 @app.command()
 def status(node: Node, as_json: AsJson = False) -> None:
-    """Show which revision is in force where, as any one node learns it."""
-    answer = ask_node(node, "/revisions")
+    """Show the revision in force at each node, as queried by one node."""
+    answer = call_admin_api(node, "/revisions")
     if as_json:
         print_json(answer)
         return
     rows = [[n["node"], n["revision"]] for n in answer["nodes"]]
     print_table("Rules in force", ["node", "revision"], rows)
-    asked = len(answer["nodes"])
-    print(f"{asked} of {answer['members']} nodes, {answer['unanswered']} unanswered")
+    answered = len(answer["nodes"])
+    print(f"{answered} of {answer['members']} nodes, {answer['unanswered']} unanswered")
--- a/packages/rattanfork-cli/rattanfork_cli/documents.py
+++ b/packages/rattanfork-cli/rattanfork_cli/documents.py
@@ -1,4 +1,4 @@
-"""Documents that operators hand in."""
+"""Reads and validates the YAML documents that operators pass to commands."""
 
 import sys
 from pathlib import Path
@@ -16,15 +16,29 @@
 
 
 def read_text(path: Path) -> str:
-    """Return the text of a file; exit with one line if it can't be read."""
+    """Return the text of a file.
+
+    Raises
+    ======
+
+    typer.Exit
+        If it cannot be read; the error message names the file.
+    """
     try:
         return path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise fail(f"{path}: {error}", BAD_INPUT) from None
+        raise fail(f"cannot read {path}: {error}", BAD_INPUT) from None
 
 
 def load_or_exit(text: str, model: type[Model], source: str) -> Model:
-    """Return a checked document; print all findings and exit if it has any."""
+    """Return a validated document.
+
+    Raises
+    ======
+
+    typer.Exit
+        If it is invalid; each finding is printed with its line and column.
+    """
     try:
         return load_yaml_model(text, model, source)
     except FindingsError as error:
@@ -34,6 +48,6 @@
 
 
 def dump_rules(document: RulesDocument) -> str:
-    """Return rules as YAML, without what was left at its default."""
+    """Return rules as YAML, without fields that have their default value."""
     data = document.model_dump(exclude_defaults=True)
     return yaml.safe_dump(data, sort_keys=False)
--- a/packages/rattanfork-cli/rattanfork_cli/exits.py
+++ b/packages/rattanfork-cli/rattanfork_cli/exits.py
@@ -1,10 +1,10 @@
-"""Exit statuses of the command."""
+"""Exit statuses of the command line."""
 
 OK = 0
-#: The request could not be carried out: no node or table, or an answer
-#: that is not certain.
+#: The command failed, as a node or the table did not respond, or its result is
+#: uncertain.
 FAILED = 1
-#: A document or an argument has faults; nothing was done.
+#: A document or an argument is invalid; nothing was changed.
 BAD_INPUT = 2
-#: Another change was accepted first; nothing was done.
+#: A concurrent change was accepted first; nothing was changed.
 CONFLICT = 4
--- a/packages/rattanfork-cli/rattanfork_cli/log_files.py
+++ b/packages/rattanfork-cli/rattanfork_cli/log_files.py
@@ -1,4 +1,4 @@
-"""Log files as arguments of commands."""
+"""Reads the log files that commands take as arguments."""
 
 import sys
 from collections.abc import Iterator
@@ -14,18 +14,20 @@
 _STANDARD_INPUT = Path("-")
 LogFiles = Annotated[
     list[Path] | None,
-    typer.Argument(help="Logs of any nodes; standard input without, or for '-'."),
+    typer.Argument(
+        help="Log files of nodes; standard input if none is given, or for '-'."
+    ),
 ]
 
 
-def log_texts(files: list[Path] | None) -> Iterator[str]:
-    """Return the lines of log files, or of standard input.
+def read_log_lines(files: list[Path] | None) -> Iterator[str]:
+    """Yield the lines of log files, or of standard input if there are none.
 
     Raises
     ======
 
     typer.Exit
-        If a file can't be read; the message names it.
+        If a file cannot be read; the error message names it.
     """
     for file in files or [_STANDARD_INPUT]:
         if file == _STANDARD_INPUT:
@@ -35,17 +37,17 @@
             with file.open(errors="replace") as stream:
                 yield from stream
         except OSError as error:
-            raise fail(f"{file}: {error.strerror}", BAD_INPUT) from None
+            raise fail(f"cannot read {file}: {error.strerror}", BAD_INPUT) from None
 
 
-def time_of_day(at: float) -> str:
-    """Return a time in seconds since 1970 as hours to milliseconds, in UTC.
+def format_time_of_day(unix_time: float) -> str:
+    """Format a Unix time as time of day in UTC, with milliseconds.
 
     Examples
     ========
 
-    >>> time_of_day(3661.5)
+    >>> format_time_of_day(3661.5)
     '01:01:01.500'
     """
-    moment = datetime.fromtimestamp(at, UTC)
+    moment = datetime.fromtimestamp(unix_time, UTC)
     return moment.strftime("%H:%M:%S.%f")[:-3]
--- a/packages/rattanfork-cli/rattanfork_cli/main.py
+++ b/packages/rattanfork-cli/rattanfork_cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``rattanfork``."""
+"""Entry point of the command line ``rattanfork``."""
 
 import typer
 import yaml
@@ -7,17 +7,17 @@
 
 from rattanfork_cli.commands import accounts, explain, logs, report, rules
 from rattanfork_cli.documents import load_or_exit, read_text
-from rattanfork_cli.http import ask_node
+from rattanfork_cli.http import call_admin_api
 from rattanfork_cli.options import AsJson, File, Node
 from rattanfork_cli.output import print_json, print_table
 
 app = typer.Typer(
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="Operate rattanfork: rules, members, drain and reports.",
+    help="Operate rattanfork: rules, members, draining, logs and reports.",
     epilog=(
-        "Exit status: 0 done; 1 could not be carried out or is not certain; "
-        "2 bad input, nothing done; 4 another change was accepted first."
+        "Exit status: 0 success; 1 failure or uncertain result; 2 invalid input, "
+        "nothing changed; 4 conflict, another change was accepted first."
     ),
 )
 app.add_typer(rules.app, name="rules")
@@ -30,7 +30,7 @@
 
 @app.command()
 def check(files: list[File]) -> None:
-    """Check documents of settings or rules; start and change nothing.
+    """Validate settings or rules files without applying them.
 
     Example: rattanfork check claims-1.yaml rules.yaml
     """
@@ -51,8 +51,8 @@
 
 @app.command()
 def status(node: Node, as_json: AsJson = False) -> None:
-    """Show the state of one node."""
-    answer = ask_node(node, "/status")
+    """Show the state and the counters of a node."""
+    answer = call_admin_api(node, "/status")
     if as_json:
         print_json(answer)
         return
@@ -62,13 +62,13 @@
     rows += [[key, f"{value:g}"] for key, value in answer["state"].items()]
     for kind, counts in answer["counters"].items():
         rows += [[f"{kind}: {name}", count] for name, count in counts.items()]
-    print_table("Node", ["what", "value"], rows)
+    print_table("Node", ["name", "value"], rows)
 
 
 @app.command()
 def members(node: Node, as_json: AsJson = False) -> None:
-    """Show the members as one node sees them."""
-    answer = ask_node(node, "/members")
+    """Show the members of the cluster, as one node knows them."""
+    answer = call_admin_api(node, "/members")
     if as_json:
         print_json(answer)
         return
@@ -79,11 +79,11 @@
 
 @app.command()
 def drain(node: Node) -> None:
-    """Drain a node: no new work, all in flight finishes, then it ends.
+    """Drain a node: it takes no new requests, completes those in flight, and exits.
 
     Example: rattanfork drain --node 127.0.0.1:8103
     """
-    ask_node(node, "/drain", "POST")
+    call_admin_api(node, "/drain", "POST")
     print("draining")
 
 
--- a/packages/rattanfork-cli/rattanfork_cli/output.py
+++ b/packages/rattanfork-cli/rattanfork_cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print."""
+"""Output of commands: tables, JSON and error messages."""
 
 import json
 import sys
@@ -9,18 +9,18 @@
 
 
 def fail(message: str, status: int) -> typer.Exit:
-    """Print one line on standard error; return the exit to raise."""
+    """Print an error message on standard error; return the exception to raise."""
     print(f"rattanfork: {message}", file=sys.stderr)
     return typer.Exit(status)
 
 
 def print_json(value: object) -> None:
-    """Print a value for scripts."""
+    """Print a value as indented JSON."""
     print(json.dumps(value, indent=2))
 
 
 def print_table(title: str, columns: list[str], rows: list[list[object]]) -> None:
-    """Print rows under headings."""
+    """Print rows as a table with column headings."""
     table = Table(title=title, title_justify="left")
     for column in columns:
         table.add_column(column)
--- a/packages/rattanfork-cli/rattanfork_cli/rules_store.py
+++ b/packages/rattanfork-cli/rattanfork_cli/rules_store.py
@@ -1,4 +1,4 @@
-"""The accepted rules in the platform's table, as operators change them."""
+"""Reads and changes the accepted rules in the platform's table."""
 
 import asyncio
 import uuid
@@ -16,17 +16,17 @@
 from rattanfork_platform import Platform, PlatformDownError
 from returns.result import Failure, Result, Success
 
-_PAUSE = 0.3
+_MEAN_RETRY_DELAY_S = 0.3
 
 
 class RulesStore:
-    """Reads and commits revisions.
+    """Reads past revisions of the rules, and commits new ones.
 
     Parameters
     ==========
 
     platform : Platform
-        The table.
+        Client of the platform whose table holds the rules.
     """
 
     def __init__(self, platform: Platform) -> None:
@@ -40,7 +40,7 @@
         ======
 
         PlatformDownError
-            If the table does not answer.
+            If the table does not respond.
         """
         row = await self._platform.read(HEAD_KEY)
         if not row.version:
@@ -50,7 +50,7 @@
         return row.version, record or head
 
     async def revision(self, number: int) -> RulesRecord | None:
-        """Return a past revision, or None."""
+        """Return a past revision, or None if it does not exist."""
         row = await self._platform.read(history_key(number))
         return RulesRecord.from_row(row.value) if row.version else None
 
@@ -61,14 +61,16 @@
         comment: str,
         expected: int | None = None,
     ) -> Result[RulesRecord, CommitOutcome]:
-        """Commit what ``edit`` makes of the accepted text.
+        """Commit the result of applying ``edit`` to the accepted rules.
 
         Parameters
         ==========
 
+        edit : callable
+            Returns the new text of the rules for the accepted revision.
         expected : int or None
-            The revision that the change was made from; another one in force
-            is a conflict.
+            Revision that the change is based on; if another one is accepted,
+            the result is a conflict.
         """
         version, head = await self.head()
         if expected is not None and head.revision != expected:
@@ -92,13 +94,15 @@
             try:
                 if isinstance(step, ReadRow):
                     row = await self._platform.read(step.key)
-                    found = RulesRecord.from_row(row.value) if row.version else None
-                    step = machine.on_row(found)
+                    record = RulesRecord.from_row(row.value) if row.version else None
+                    step = machine.on_row(record)
                 else:
                     checks = {HEAD_KEY: step.head_version}
-                    done = await self._platform.transact(checks, step.writes)
-                    step = machine.on_committed() if done else machine.on_refused()
+                    committed = await self._platform.transact(checks, step.writes)
+                    step = machine.on_committed() if committed else machine.on_refused()
             except PlatformDownError:
-                await asyncio.sleep(_PAUSE * self._random.uniform(0.5, 1.5))
+                await asyncio.sleep(
+                    _MEAN_RETRY_DELAY_S * self._random.uniform(0.5, 1.5)
+                )
                 step = machine.on_no_answer()
         return step
--- a/packages/rattanfork-cli/rattanfork_cli/tests/test_logs.py
+++ b/packages/rattanfork-cli/rattanfork_cli/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Commands on logs: the story of a request, and counts."""
+"""Commands on logs: trace of a request, summary and losses."""
 
 import json
 from pathlib import Path
@@ -29,14 +29,14 @@
     return CliRunner().invoke(app, [str(argument) for argument in arguments], **more)
 
 
-def written(folder: Path, *records: dict) -> Path:
+def write_log(folder: Path, *records: dict) -> Path:
     path = folder / "node.log"
     path.write_text("noise\n" + "".join(f"{json.dumps(r)}\n" for r in records))
     return path
 
 
-def test_trace_tells_the_decision_with_its_inputs(tmp_path):
-    result = run("trace", "r1", written(tmp_path, COUNTED, REQUEST))
+def test_trace_shows_decision_with_its_inputs(tmp_path):
+    result = run("trace", "r1", write_log(tmp_path, COUNTED, REQUEST))
     assert result.exit_code == 0
     assert "00:01:40.500  n1  route lookup: not-run (shed-early)" in result.stdout
     assert "thresholds heard: n2@b 2 (0.1 s old)" in result.stdout
@@ -47,20 +47,20 @@
     assert json.loads(result.stdout)[0]["instance"] == "n1"
 
 
-def test_a_request_that_no_line_tells_of_gives_status_1(tmp_path):
-    result = run("trace", "r9", written(tmp_path, REQUEST))
+def test_trace_of_unknown_request_exits_with_status_1(tmp_path):
+    result = run("trace", "r9", write_log(tmp_path, REQUEST))
     assert result.exit_code == 1
-    assert "no line tells of 'r9'" in result.stderr
+    assert "no log line mentions request 'r9'" in result.stderr
 
 
-def test_a_missing_file_gives_status_2_and_one_line(tmp_path):
+def test_missing_log_file_exits_with_status_2_and_one_line(tmp_path):
     result = run("trace", "r1", tmp_path / "none.log")
     assert result.exit_code == 2
     assert result.stderr.count("\n") == 1
 
 
-def test_summary_counts_by_reason_and_tells_what_was_left_out(tmp_path):
-    path = written(tmp_path, REQUEST, REQUEST, COUNTED)
+def test_summary_counts_by_reason_and_shows_dropped_lines(tmp_path):
+    path = write_log(tmp_path, REQUEST, REQUEST, COUNTED)
     result = run("logs", "summary", path, "--json")
     answer = json.loads(result.stdout)
     assert [(c["reason"], c["count"]) for c in answer["counts"]] == [("shed-early", 2)]
@@ -68,12 +68,12 @@
     assert "lines left out, plain: 9" in run("logs", "summary", path).stdout
 
 
-def test_a_span_of_nothing_is_bad_input(tmp_path):
-    assert run("logs", "summary", written(tmp_path), "--every", 0).exit_code == 2
+def test_summary_rejects_span_of_zero(tmp_path):
+    assert run("logs", "summary", write_log(tmp_path), "--every", 0).exit_code == 2
 
 
-def test_losses_are_told_by_cause_with_what_was_left_out(tmp_path):
-    result = run("report", "losses", written(tmp_path, REQUEST, COUNTED))
+def test_losses_are_counted_by_cause_with_dropped_lines(tmp_path):
+    result = run("report", "losses", write_log(tmp_path, REQUEST, COUNTED))
     assert result.exit_code == 0
     assert "Lost requests: 1" in result.stdout
     assert "shed-early" in result.stdout
@@ -81,14 +81,14 @@
     assert "lines left out, plain: 9" in result.stdout
 
 
-def test_losses_are_drawn(tmp_path):
+def test_losses_are_plotted_to_image_file(tmp_path):
     picture = tmp_path / "losses.png"
-    result = run("report", "losses", "--plot", picture, written(tmp_path, REQUEST))
+    result = run("report", "losses", "--plot", picture, write_log(tmp_path, REQUEST))
     assert result.exit_code == 0
     assert picture.read_bytes().startswith(b"\x89PNG")
 
 
-def test_losses_of_a_span_of_nothing_are_bad_input(tmp_path):
-    result = run("report", "losses", "--every", "0", written(tmp_path, REQUEST))
+def test_losses_reject_span_of_zero(tmp_path):
+    result = run("report", "losses", "--every", "0", write_log(tmp_path, REQUEST))
     assert result.exit_code == 2
     assert "--every" in result.output
