--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -18,17 +18,17 @@
 from rattanfork_node.admin.announcement import Announcement
 from rattanfork_node.app.fleet import FleetView
 from rattanfork_node.app.peers import NodePeerHandler
-from rattanfork_node.config.rules_poller import RulesPoller
-from rattanfork_node.edge import Edge
-from rattanfork_node.guard import Guard, UpstreamClient
-from rattanfork_node.ingress import (
+from rattanfork_node.call_gate import CallGate, UpstreamClient
+from rattanfork_node.call_ingress import (
+    CallIngress,
     Dispatcher,
-    EpochBook,
-    Ingress,
+    EpochCache,
     InstanceDirectory,
     KeyAssigner,
     KeyIssuer,
 )
+from rattanfork_node.config.rules_poller import RulesPoller
+from rattanfork_node.edge import CallServer
 from rattanfork_node.member import GossipTask
 from rattanfork_node.peer import PeerLink, PeerPool
 from rattanfork_node.telemetry import Counters, log_change
@@ -105,7 +105,7 @@
         self._membership.cached_versions = lambda: CachedVersions(
             rules=self._rules.order
         )
-        self._guard = Guard(
+        self._guard = CallGate(
             self._clock,
             settings.instance,
             boot,
@@ -184,7 +184,7 @@
         settings = self._settings
         hints = ThresholdCache(self._clock)
         directory = InstanceDirectory(self._clock, self._random, self._membership)
-        epochs = EpochBook(self._clock)
+        epochs = EpochCache(self._clock)
         dispatcher = Dispatcher(
             self._clock,
             self._membership,
@@ -202,7 +202,7 @@
             self._membership.me.name,
             epochs,
         )
-        self._ingress = Ingress(
+        self._ingress = CallIngress(
             self._clock,
             self._random,
             settings.data_centre,
@@ -218,7 +218,7 @@
             issuer,
             KeyAssigner(self._platform) if self._platform else None,
         )
-        self._edge = Edge(
+        self._edge = CallServer(
             self._clock,
             self._random,
             self._ingress,
@@ -260,13 +260,13 @@
             await asyncio.sleep(_TICK)
 
     async def _drain(self) -> int:
-        log_change("draining", busy=self._guard.busy)
+        log_change("draining", busy=self._guard.outstanding)
         self._member.leave()
-        self._guard.leave()
+        self._guard.drain()
         # Others hear of the leaving first; until they have, what they still
         # send is refused as not run and goes to another instance.
         await asyncio.sleep(_LEAVE_PAUSE)
-        self._edge.leave()
+        self._edge.drain()
         stop = asyncio.ensure_future(self._stop_now.wait())
         done = asyncio.ensure_future(self._finish_in_flight())
         limit = self._settings.drain_limit
@@ -277,12 +277,12 @@
         if done.done():
             return 0
         done.cancel()
-        log_change("cut_off", guard=self._guard.busy, edge=self._edge.in_flight)
+        log_change("cut_off", guard=self._guard.outstanding, edge=self._edge.in_flight)
         return 1
 
     async def _finish_in_flight(self) -> None:
         while True:
-            await self._guard.drain()
+            await self._guard.wait_idle()
             if self._edge.in_flight == 0:
                 return
             await asyncio.sleep(0.02)
@@ -333,7 +333,7 @@
         me = self._membership.me
         if self._settings.upstream is not None and me.ready:
             quiet = self._clock.now() - self._announced
-            refused = self._guard.refused_in_a_row
+            refused = self._guard.consecutive_refusals
             gone = refused >= _MOST_REFUSED
             if gone or quiet > self._settings.upstream.announce_timeout:
                 # Work sent here only costs its sender a retry; the next
@@ -359,7 +359,7 @@
             "keys.remembered": self._guard.ledger.remembered,
             "members.present": len(self._membership.present()),
             "peers.connected": self._pool.connected,
-            "peers.silent": self._pool.silent,
+            "peers.silent": self._pool.silent_closed,
             "rules.revision": self._rules.revision,
             "gossip.sent_bytes": self._member.sent_bytes,
         }
@@ -370,7 +370,7 @@
             "revision": self._rules.revision,
             "ready": self._rules.ready,
             "draining": self._draining.is_set(),
-            "upstream": self._upstream_url if self._guard.serving else None,
+            "upstream": self._upstream_url if self._guard.has_upstream else None,
             "state": self._gauges(),
             "counters": self._counters.snapshot(),
             "platform": dict(self._platform.asked) if self._platform else {},
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -9,8 +9,9 @@
 from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
 
-from rattanfork_node.guard import Guard, GuardRequest
+from rattanfork_node.call_gate import CallGate, GateRequest
 from rattanfork_node.peer import (
+    BasePeerHandler,
     BurnReply,
     BurnRequest,
     Call,
@@ -20,14 +21,13 @@
     FenceKey,
     FenceReply,
     FrameError,
-    LedgeredPeerHandler,
     PeerLink,
     Reply,
 )
 from rattanfork_node.telemetry import Counters
 
 
-class NodePeerHandler(LedgeredPeerHandler):
+class NodePeerHandler(BasePeerHandler):
     """Answers calls, fences, and questions about rules and members.
 
     Parameters
@@ -35,7 +35,7 @@
 
     clock : Clock
         Source of the current time.
-    guard : Guard
+    guard : CallGate
         This node's guard.
     rules : RevisionState
         The rules in force.
@@ -48,7 +48,7 @@
     def __init__(
         self,
         clock: Clock,
-        guard: Guard,
+        guard: CallGate,
         rules: RevisionState,
         burn: BurnMeter,
         counters: Counters,
@@ -99,7 +99,7 @@
         def may_hand_over() -> bool:
             return ledger.hand_over(call.number)
 
-        request = GuardRequest(
+        request = GateRequest(
             call.boot,
             call.operation,
             call.method,
@@ -110,7 +110,7 @@
             call.caller,
             Importance(call.importance),
             call.rank,
-            self._clock.now() + call.time_left / 1000,
+            self._clock.now() + call.time_left_ms / 1000,
             call.attempts,
             call.key,
             call.idempotent,
@@ -137,6 +137,6 @@
             result.unused_attempts,
             result.retry_elsewhere,
             int(result.retry_after * 1000),
-            self._guard.cut(call.operation),
+            self._guard.threshold(call.operation),
             self._guard.ledger.epoch,
         )
--- a/packages/rattanfork-node/rattanfork_node/guard/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/__init__.py
@@ -1,8 +1,8 @@
 """The guard: the only part that hands requests to the upstream."""
 
-from rattanfork_node.guard.guard import Guard
-from rattanfork_node.guard.request import GuardRequest
-from rattanfork_node.guard.upstream import (
+from rattanfork_node.call_gate.gate import CallGate
+from rattanfork_node.call_gate.request import GateRequest
+from rattanfork_node.call_gate.upstream_client import (
     UpstreamAnswer,
     UpstreamClient,
     UpstreamRefusedError,
@@ -11,8 +11,8 @@
 )
 
 __all__ = [
-    "Guard",
-    "GuardRequest",
+    "CallGate",
+    "GateRequest",
     "UpstreamAnswer",
     "UpstreamClient",
     "UpstreamRefusedError",
--- a/packages/rattanfork-node/rattanfork_node/guard/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
@@ -7,13 +7,13 @@
 from rattanfork_core.request import CallResult, Outcome, Reason
 from rattanfork_core.request.importance import RANK_LIMIT
 
-from rattanfork_node.guard.request import GuardRequest
-from rattanfork_node.guard.upstream import UpstreamAnswer
+from rattanfork_node.call_gate.request import GateRequest
+from rattanfork_node.call_gate.upstream_client import UpstreamAnswer
 
 _TOKEN_BYTES = 9
 
 
-def new_context(clock: Clock, request: GuardRequest) -> RunContext:
+def new_context(clock: Clock, request: GateRequest) -> RunContext:
     """Return what the child calls of a run inherit.
 
     The token is random: who has not been given it can't spend the account.
@@ -30,7 +30,7 @@
 
 
 def upstream_headers(
-    request: GuardRequest, context: RunContext, time_left: float
+    request: GateRequest, context: RunContext, time_left: float
 ) -> list[tuple[str, str]]:
     """Return the headers the upstream gets; ``time_left`` is in seconds."""
     return [
--- a/packages/rattanfork-node/rattanfork_node/guard/guard.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -34,13 +34,13 @@
     jittered_retry_after,
 )
 
-from rattanfork_node.guard.exchange import (
+from rattanfork_node.call_gate.exchange import (
     answered,
     new_context,
     upstream_headers,
 )
-from rattanfork_node.guard.request import GuardRequest
-from rattanfork_node.guard.upstream import (
+from rattanfork_node.call_gate.request import GateRequest
+from rattanfork_node.call_gate.upstream_client import (
     UpstreamClient,
     UpstreamRefusedError,
     UpstreamShedError,
@@ -59,7 +59,7 @@
 )
 
 
-class Guard:
+class CallGate:
     """Stands directly in front of the upstream instance.
 
     Explanation
@@ -114,7 +114,7 @@
         self._refused_in_a_row = 0
 
     @property
-    def refused_in_a_row(self) -> int:
+    def consecutive_refusals(self) -> int:
         """Connections that the upstream refused since it last took one."""
         return self._refused_in_a_row
 
@@ -129,12 +129,12 @@
         return self._ledger
 
     @property
-    def busy(self) -> int:
+    def outstanding(self) -> int:
         """Requests waiting or running."""
         return self._admission.running + self._admission.waiting
 
     @property
-    def serving(self) -> bool:
+    def has_upstream(self) -> bool:
         """Whether there is an upstream."""
         return self._upstream is not None
 
@@ -143,15 +143,15 @@
         self._upstream = upstream
         self._refused_in_a_row = 0
 
-    def context(self, token: str) -> RunContext | None:
+    def find_context(self, token: str) -> RunContext | None:
         """Return the run that a child call belongs to."""
         return self._contexts.get(token)
 
-    def cut(self, operation: str) -> float:
+    def threshold(self, operation: str) -> float:
         """Return the threshold to announce: the guard's or a deeper one."""
         return min(self._admission.threshold, self._deep_cuts.threshold(operation, ""))
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Take no new work."""
         self._apply(self._admission.drain())
 
@@ -167,7 +167,7 @@
             return FenceVerdict.UNKNOWN
         return self._ledger.fence(key, ticket)
 
-    async def run(self, request: GuardRequest) -> CallResult:
+    async def run(self, request: GateRequest) -> CallResult:
         """Run a request, and return its answer or why there is none."""
         if request.key:
             # What is said of a key is said of all its copies, so nothing is
@@ -180,12 +180,12 @@
         self._counters.calls[result.outcome.label, result.reason.label] += 1
         return result
 
-    async def drain(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until nothing waits or runs."""
-        while self.busy or self._background:
+        while self.outstanding or self._background:
             await asyncio.sleep(0.02)
 
-    async def _run_keyed(self, request: GuardRequest) -> CallResult:
+    async def _run_keyed(self, request: GateRequest) -> CallResult:
         try:
             ticket = self._mint.read(request.key)
         except TicketError:
@@ -202,9 +202,7 @@
             return await self._join(request)
         return await self._run_new_key(request, verdict.record)
 
-    async def _run_new_key(
-        self, request: GuardRequest, record: RunRecord
-    ) -> CallResult:
+    async def _run_new_key(self, request: GateRequest, record: RunRecord) -> CallResult:
         # A run under a key goes on when its caller leaves, for the answer is
         # kept for the caller's next attempt.
         future = asyncio.get_running_loop().create_future()
@@ -231,7 +229,7 @@
                 task.cancel()
             raise
 
-    async def _join(self, request: GuardRequest) -> CallResult:
+    async def _join(self, request: GateRequest) -> CallResult:
         future = self._joins.get(request.key)
         if future is None:
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
@@ -242,7 +240,7 @@
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
 
     async def _admit_and_run(
-        self, request: GuardRequest, record: RunRecord | None
+        self, request: GateRequest, record: RunRecord | None
     ) -> CallResult:
         if self._upstream is None:
             return self._refusal(request, Reason.NO_INSTANCE, record)
@@ -293,7 +291,7 @@
             self._starts.pop(waiter.key, None)
 
     async def _hand_over(
-        self, request: GuardRequest, waiter: Waiter, record: RunRecord | None
+        self, request: GateRequest, waiter: Waiter, record: RunRecord | None
     ) -> CallResult:
         context = new_context(self._clock, request)
         self._contexts[context.token] = context
@@ -328,7 +326,7 @@
         return result
 
     def _failed(
-        self, request: GuardRequest, record: RunRecord | None, error: Exception
+        self, request: GateRequest, record: RunRecord | None, error: Exception
     ) -> CallResult:
         if isinstance(error, UpstreamRefusedError | UpstreamShedError):
             # Nothing was written, or the upstream vouches that it ran
@@ -357,7 +355,7 @@
         raise error
 
     def _refusal(
-        self, request: GuardRequest, reason: Reason, record: RunRecord | None = None
+        self, request: GateRequest, reason: Reason, record: RunRecord | None = None
     ) -> CallResult:
         if record is not None and not self._ledger.refuse(record):
             return CallResult(Outcome.UNKNOWN, reason)
--- a/packages/rattanfork-node/rattanfork_node/guard/request.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/request.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class GuardRequest:
+class GateRequest:
     """A request as it reaches the guard.
 
     Parameters
--- a/packages/rattanfork-node/rattanfork_node/guard/tests/test_guard.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
@@ -8,7 +8,7 @@
 from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.request import Importance, Outcome, Reason
-from rattanfork_node.guard import Guard, GuardRequest, UpstreamAnswer
+from rattanfork_node.call_gate import CallGate, GateRequest, UpstreamAnswer
 from rattanfork_node.telemetry import Counters
 
 
@@ -25,9 +25,9 @@
         return UpstreamAnswer(200, [], b"whole")
 
 
-def request(key: str = "") -> GuardRequest:
+def request(key: str = "") -> GateRequest:
     deadline = MonotonicClock().now() + 60
-    return GuardRequest(
+    return GateRequest(
         "b", "get", "GET", "/get", [], b"", "r", "clerk", Importance.HIGH, 1.5,
         deadline, 0, key, True, lambda: True,
     )  # fmt: skip
@@ -37,7 +37,9 @@
     async def run() -> None:
         mint = TicketMint(b"key", Random(1))
         settings = AdmissionSettings(slots=1, warmup=0)
-        guard = Guard(MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1))
+        guard = CallGate(
+            MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1)
+        )
         upstream = Upstream()
         guard.attach(upstream)
         first = asyncio.ensure_future(guard.run(request()))
@@ -52,7 +54,7 @@
         result = await second
         assert (result.outcome, result.reason) == (Outcome.NOT_RUN, Reason.NO_INSTANCE)
         assert upstream.ran == 1
-        assert guard.busy == 0
+        assert guard.outstanding == 0
 
     uvloop.run(run())
 
--- a/packages/rattanfork-node/rattanfork_node/ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -22,9 +22,9 @@
 from rattanfork_core.request.commands import Command
 from rattanfork_core.routing import InstancePicker
 
-from rattanfork_node.guard import Guard, GuardRequest
-from rattanfork_node.ingress.epochs import EpochBook
-from rattanfork_node.ingress.incoming import Incoming
+from rattanfork_node.call_gate import CallGate, GateRequest
+from rattanfork_node.call_ingress.epoch_cache import EpochCache
+from rattanfork_node.call_ingress.incoming_request import IncomingRequest
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import Call, Cancel, LinkLostError, PeerLink, PeerPool
 
@@ -44,7 +44,7 @@
 class Job:
     """One request on its way."""
 
-    incoming: Incoming
+    incoming: IncomingRequest
     account: Account
     importance: Importance
     rank: float
@@ -69,11 +69,11 @@
         Who serves what.
     pool : PeerPool
         Connections to other nodes.
-    guard : Guard
+    guard : CallGate
         This node's own guard.
     hints : ThresholdCache
         Where thresholds heard on replies are kept.
-    epochs : EpochBook
+    epochs : EpochCache
         Where the guards' epochs of keys are kept.
     """
 
@@ -83,9 +83,9 @@
         membership: Membership,
         directory: InstanceDirectory,
         pool: PeerPool,
-        guard: Guard,
+        guard: CallGate,
         hints: ThresholdCache,
-        epochs: EpochBook,
+        epochs: EpochCache,
     ) -> None:
         self._clock = clock
         self._membership = membership
@@ -163,7 +163,7 @@
         if member.name == self._membership.me.name:
             sent[command.attempt] = _Sent(None, 0)
             return await self._run_here(job, command, member)
-        link = self._pool.ready(member)
+        link = self._pool.ready_link(member)
         if link is None:
             link = await self._pool.open((member.host, member.peer_port))
             if link.peer != member.name:
@@ -172,7 +172,7 @@
         sent[command.attempt] = _Sent(link, number)
         reply = await link.ask(self._call(job, command, member, number))
         self._hints.update(job.hint_key, member.name, reply.cut)
-        self._epochs.hear(member.name, reply.epoch)
+        self._epochs.update(member.name, reply.epoch)
         return CallResult(
             Outcome(reply.outcome),
             Reason(reply.reason),
@@ -189,7 +189,7 @@
     ) -> CallResult:
         incoming = job.incoming
         result = await self._guard.run(
-            GuardRequest(
+            GateRequest(
                 member.boot,
                 incoming.operation,
                 incoming.method,
@@ -208,7 +208,7 @@
             )
         )
         self._hints.update(
-            job.hint_key, member.name, self._guard.cut(incoming.operation)
+            job.hint_key, member.name, self._guard.threshold(incoming.operation)
         )
         return result
 
@@ -246,7 +246,7 @@
         try:
             async with asyncio.timeout(_FENCE_TIMEOUT):
                 [verdict] = await self._pool.fence_calls(
-                    member, sent.link.connection, [sent.number]
+                    member, sent.link.connection_id, [sent.number]
                 )
         except (LinkLostError, TimeoutError, ValueError):
             return FenceVerdict.UNKNOWN
--- a/packages/rattanfork-node/rattanfork_node/ingress/epochs.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/epoch_cache.py
@@ -5,7 +5,7 @@
 from rattanfork_core.clock import Clock
 
 
-class EpochBook:
+class EpochCache:
     """Epochs heard on replies, while they are fresh.
 
     Explanation
@@ -20,8 +20,8 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> book = EpochBook(clock)
-    >>> book.hear("w1", 3)
+    >>> book = EpochCache(clock)
+    >>> book.update("w1", 3)
     >>> book.epoch("w1")
     3
     >>> clock.advance(60)
@@ -37,7 +37,7 @@
         self._clock = clock
         self._heard: OrderedDict[str, tuple[int, float]] = OrderedDict()
 
-    def hear(self, name: str, epoch: int) -> None:
+    def update(self, name: str, epoch: int) -> None:
         """Take in what a reply said."""
         self._heard[name] = (epoch, self._clock.now())
         if len(self._heard) > self.MOST:
--- a/packages/rattanfork-node/rattanfork_node/ingress/incoming.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/incoming_request.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Incoming:
+class IncomingRequest:
     """A request as it enters the system.
 
     Parameters
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -25,19 +25,19 @@
 from rattanfork_core.settings import RequestSettings
 from rattanfork_platform import PlatformDownError
 
-from rattanfork_node.guard import Guard
-from rattanfork_node.ingress.dispatcher import Dispatcher, Job, blocked_instances
-from rattanfork_node.ingress.incoming import Incoming
-from rattanfork_node.ingress.key_assigner import KeyAssigner
-from rattanfork_node.ingress.key_issuer import KeyIssuer
-from rattanfork_node.ingress.treatment import Treatment, treat
+from rattanfork_node.call_gate import CallGate
+from rattanfork_node.call_ingress.dispatcher import Dispatcher, Job, blocked_instances
+from rattanfork_node.call_ingress.incoming_request import IncomingRequest
+from rattanfork_node.call_ingress.key_assigner import KeyAssigner
+from rattanfork_node.call_ingress.key_issuer import KeyIssuer
+from rattanfork_node.call_ingress.request_policy import RequestPolicy, select_policy
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.telemetry import Counters
 
 _NOBODY: frozenset[str] = frozenset()
 
 
-class Ingress:
+class CallIngress:
     """Takes callers' requests and the upstream's own calls to the end.
 
     Explanation
@@ -57,7 +57,7 @@
         rules: RevisionState,
         directory: InstanceDirectory,
         dispatcher: Dispatcher,
-        guard: Guard,
+        guard: CallGate,
         hints: ThresholdCache,
         mint: TicketMint,
         counters: Counters,
@@ -86,7 +86,7 @@
         """Return new keys for postings, each bound to one live instance."""
         return await self._issuer.issue_many(service, count)
 
-    async def serve(self, incoming: Incoming) -> CallResult:
+    async def serve(self, incoming: IncomingRequest) -> CallResult:
         """Bring a request to its final answer."""
         if incoming.context:
             return await self._serve_child(incoming)
@@ -100,7 +100,9 @@
         self._burn.add(incoming.service, importance, treatment.rule, good, took)
         return result
 
-    async def _serve_root(self, incoming: Incoming) -> tuple[CallResult, Treatment]:
+    async def _serve_root(
+        self, incoming: IncomingRequest
+    ) -> tuple[CallResult, RequestPolicy]:
         number = self._book.arrive(incoming.request_id, incoming.caller)
         incoming.attempt = max(incoming.attempt, number or 1)
         picker = self._directory.picker(incoming.service)
@@ -109,7 +111,7 @@
         if picker is not None and len(self._hints):
             _, highest = blocked_instances(picker, self._hints, hint_key, RANK_LIMIT)
             load = 1.0 - highest / RANK_LIMIT
-        treatment = treat(
+        treatment = select_policy(
             incoming, self._rules.rules, self._data_centre, load, self._settings
         )
         rank = request_rank(treatment.importance, incoming.request_id)
@@ -135,7 +137,7 @@
         return await self._dispatch(job), treatment
 
     def _refuse_by_rule(
-        self, incoming: Incoming, treatment: Treatment, rank: float
+        self, incoming: IncomingRequest, treatment: RequestPolicy, rank: float
     ) -> CallResult | None:
         action = treatment.action
         if not self._rules.ready:
@@ -157,8 +159,8 @@
             return self._refusal(Reason.RETRY_BUDGET, rank)
         return None
 
-    async def _serve_child(self, incoming: Incoming) -> CallResult:
-        context = self._guard.context(incoming.context)
+    async def _serve_child(self, incoming: IncomingRequest) -> CallResult:
+        context = self._guard.find_context(incoming.context)
         if context is None or context.ended:
             # The run it belongs to is over: nobody would see the answer.
             self._counters.events["child.orphaned"] += 1
@@ -268,14 +270,16 @@
                 break
         return self._finish(job, result)
 
-    async def _ticket(self, incoming: Incoming, rank: float) -> str | CallResult:
+    async def _ticket(self, incoming: IncomingRequest, rank: float) -> str | CallResult:
         try:
             self._mint.read(incoming.key)
         except TicketError:
             return await self._assigned(incoming, rank)
         return incoming.key
 
-    async def _assigned(self, incoming: Incoming, rank: float) -> str | CallResult:
+    async def _assigned(
+        self, incoming: IncomingRequest, rank: float
+    ) -> str | CallResult:
         if self._assigner is None:
             return CallResult(Outcome.NOT_RUN, Reason.BAD_REQUEST)
         member = self._pick_member(incoming.service, _NOBODY)
@@ -308,7 +312,7 @@
         return self._finish(job, result)
 
     async def _prove_refusal(
-        self, incoming: Incoming, result: CallResult
+        self, incoming: IncomingRequest, result: CallResult
     ) -> CallResult:
         """Turn a refusal here into one that holds for the key as well."""
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
@@ -5,8 +5,8 @@
 from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.membership import Member
 
-from rattanfork_node.guard import Guard
-from rattanfork_node.ingress.epochs import EpochBook
+from rattanfork_node.call_gate import CallGate
+from rattanfork_node.call_ingress.epoch_cache import EpochCache
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, PeerPool
 
@@ -25,11 +25,11 @@
         Who serves what.
     pool : PeerPool
         Connections to other nodes.
-    guard : Guard
+    guard : CallGate
         This node's own guard.
     me : str
         This node's member name.
-    epochs : EpochBook
+    epochs : EpochCache
         What was heard of other guards' epochs.
     """
 
@@ -38,9 +38,9 @@
         mint: TicketMint,
         directory: InstanceDirectory,
         pool: PeerPool,
-        guard: Guard,
+        guard: CallGate,
         me: str,
-        epochs: EpochBook,
+        epochs: EpochCache,
     ) -> None:
         self._mint = mint
         self._directory = directory
@@ -85,7 +85,7 @@
                 epoch = await self._pool.ask_epoch(address)
         except (LinkLostError, TimeoutError):
             return None
-        self._epochs.hear(member.name, epoch)
+        self._epochs.update(member.name, epoch)
         return epoch
 
     def _make(self, member: Member, epoch: int) -> str:
--- a/packages/rattanfork-node/rattanfork_node/ingress/treatment.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/request_policy.py
@@ -6,13 +6,13 @@
 from rattanfork_core.rules import Action, RequestFacts, RuleSet
 from rattanfork_core.settings import RequestSettings
 
-from rattanfork_node.ingress.incoming import Incoming
+from rattanfork_node.call_ingress.incoming_request import IncomingRequest
 
 _NO_ACTION = Action()
 
 
 @dataclass(frozen=True, slots=True)
-class Treatment:
+class RequestPolicy:
     """How a request is treated.
 
     Parameters
@@ -34,13 +34,13 @@
     idempotent: bool
 
 
-def treat(
-    incoming: Incoming,
+def select_policy(
+    incoming: IncomingRequest,
     rules: RuleSet,
     data_centre: str,
     load: float,
     defaults: RequestSettings,
-) -> Treatment:
+) -> RequestPolicy:
     """Return how the first rule that matches has a caller's request treated."""
     importance = incoming.importance
     facts = RequestFacts(
@@ -60,7 +60,7 @@
         deadline = min(deadline, action.deadline)
     attempts = defaults.attempts if action.attempts is None else action.attempts
     idempotent = action.idempotent
-    return Treatment(
+    return RequestPolicy(
         rule.name if rule is not None else "",
         action,
         facts.importance if action.importance is None else action.importance,
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_gone.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
@@ -8,7 +8,7 @@
 from rattanfork_core.account import Account
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance, Outcome, SendCall
-from rattanfork_node.ingress.dispatcher import Job, _gone
+from rattanfork_node.call_ingress.dispatcher import Job, _gone
 
 COMMAND = SendCall(1, "claims-1@old", 1)
 
--- a/packages/rattanfork-node/rattanfork_node/ingress/tests/test_treatment.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
@@ -4,7 +4,7 @@
 from rattanfork_core.request import Importance
 from rattanfork_core.rules import load_rules
 from rattanfork_core.settings import RequestSettings
-from rattanfork_node.ingress import CallerBook, Incoming, treat
+from rattanfork_node.call_ingress import CallerBook, IncomingRequest, select_policy
 
 RULES = load_rules(
     """
@@ -16,7 +16,7 @@
 )
 
 
-def incoming(**more: object) -> Incoming:
+def incoming(**more: object) -> IncomingRequest:
     fields = {
         "service": "claims",
         "operation": "file",
@@ -27,11 +27,11 @@
         "request_id": "r",
         "caller": "clerk",
     }
-    return Incoming(**{**fields, **more})
+    return IncomingRequest(**{**fields, **more})
 
 
 def treated(load: float = 0.0, **more: object):
-    return treat(incoming(**more), RULES, "dc1", load, RequestSettings())
+    return select_policy(incoming(**more), RULES, "dc1", load, RequestSettings())
 
 
 def test_the_rule_decides_over_the_callers_wish():
--- a/packages/rattanfork-node/rattanfork_node/edge/parse.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/parse.py
@@ -5,8 +5,8 @@
 from aiohttp import web
 from rattanfork_core.request import Importance
 
+from rattanfork_node.call_ingress import IncomingRequest
 from rattanfork_node.edge import headers as names
-from rattanfork_node.ingress import Incoming
 
 _LONGEST_ID = 128
 _LONGEST_KEY = 400
@@ -18,7 +18,9 @@
     """The request breaks the contract; the text says how."""
 
 
-def parse_request(request: web.BaseRequest, body: bytes, random: Random) -> Incoming:
+def parse_request(
+    request: web.BaseRequest, body: bytes, random: Random
+) -> IncomingRequest:
     """Return the request of the system that an HTTP request stands for.
 
     Raises
@@ -41,7 +43,7 @@
         _check_token(names.KEY, key, _LONGEST_KEY)
     timeout = _number(found.get(names.TIMEOUT), names.TIMEOUT, _LONGEST_TIMEOUT_MS)
     attempt = _number(found.get(names.ATTEMPT), names.ATTEMPT, _MOST_ATTEMPTS)
-    return Incoming(
+    return IncomingRequest(
         service=parts[1],
         operation=parts[2],
         method=request.method,
--- a/packages/rattanfork-node/rattanfork_node/edge/edge.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/server.py
@@ -9,10 +9,10 @@
 from rattanfork_core.request import CallResult, Outcome, Reason
 from rattanfork_core.settings import LimitSettings
 
+from rattanfork_node.call_ingress import CallIngress, IncomingRequest
 from rattanfork_node.edge import headers as names
 from rattanfork_node.edge.parse import BadRequestError, parse_request
 from rattanfork_node.edge.render import render_result
-from rattanfork_node.ingress import Incoming, Ingress
 from rattanfork_node.telemetry import Counters, counting_logger
 from rattanfork_node.telemetry.metrics import Metrics
 
@@ -21,7 +21,7 @@
 _LONGEST_LINE = 16_384
 
 
-class Edge:
+class CallServer:
     """Takes HTTP requests and answers them.
 
     Parameters
@@ -31,7 +31,7 @@
         Source of the current time.
     random : Random
         Source of request IDs.
-    ingress : Ingress
+    ingress : CallIngress
         Brings requests to their end.
     limits : LimitSettings
         Bounds.
@@ -45,7 +45,7 @@
         self,
         clock: Clock,
         random: Random,
-        ingress: Ingress,
+        ingress: CallIngress,
         limits: LimitSettings,
         counters: Counters,
         metrics: Metrics,
@@ -89,7 +89,7 @@
             self._server, host, port, backlog=1024
         )
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Take no new requests of callers."""
         self._leaving = True
         if self._listener is not None:
@@ -97,7 +97,7 @@
 
     async def stop(self) -> None:
         """Close what is left."""
-        self.leave()
+        self.drain()
         if self._server is not None:
             await self._server.shutdown(0.5)
 
@@ -139,7 +139,7 @@
             response.force_close()
         return response
 
-    async def _ingress_serve(self, incoming: Incoming) -> CallResult:
+    async def _ingress_serve(self, incoming: IncomingRequest) -> CallResult:
         try:
             return await self._ingress.serve(incoming)
         except asyncio.CancelledError:
--- a/packages/rattanfork-node/rattanfork_node/peer/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/__init__.py
@@ -1,8 +1,8 @@
 """Streams between nodes."""
 
+from rattanfork_node.peer.base_handler import BasePeerHandler
 from rattanfork_node.peer.errors import FrameError, LinkLostError
 from rattanfork_node.peer.handler import PeerHandler
-from rattanfork_node.peer.ledgered import LedgeredPeerHandler
 from rattanfork_node.peer.link import PeerLink
 from rattanfork_node.peer.messages import (
     BurnReply,
@@ -49,7 +49,7 @@
     "FenceReply",
     "FrameError",
     "Hello",
-    "LedgeredPeerHandler",
+    "BasePeerHandler",
     "LinkLostError",
     "PeerHandler",
     "PeerLink",
--- a/packages/rattanfork-node/rattanfork_node/peer/ledgered.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -29,7 +29,7 @@
 _MOST_LEDGERS = 2000
 
 
-class LedgeredPeerHandler(PeerHandler):
+class BasePeerHandler(PeerHandler):
     """Keeps a ledger for each connection, and answers of rules and members.
 
     Parameters
@@ -59,10 +59,10 @@
 
     def on_open(self, link: PeerLink) -> None:
         """Take note of an authenticated connection."""
-        if link.connection in self._ledgers:
+        if link.connection_id in self._ledgers:
             raise FrameError("the connection's name is taken")
         self._links.add(link)
-        self._ledgers[link.connection] = ConnectionLedger()
+        self._ledgers[link.connection_id] = ConnectionLedger()
         if len(self._ledgers) > _MOST_LEDGERS:
             # A fence for a connection that is forgotten is answered
             # "unknown", never "not run".
@@ -94,7 +94,7 @@
         FrameError
             If the request's number was taken before.
         """
-        ledger = self._ledgers.get(link.connection)
+        ledger = self._ledgers.get(link.connection_id)
         if ledger is None or not ledger.arrive(number):
             raise FrameError("a request's number is taken")
         return ledger
--- a/packages/rattanfork-node/rattanfork_node/peer/link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/link.py
@@ -115,7 +115,7 @@
         self.calls: dict[int, Any] = {}
 
     @property
-    def connection(self) -> str:
+    def connection_id(self) -> str:
         """Identifies this connection to both ends."""
         return self._connection
 
@@ -140,16 +140,16 @@
         return self._closed
 
     @property
-    def late_answers(self) -> int:
+    def late_replies(self) -> int:
         """Answers dropped because nobody waits for them."""
         return self._late_answers
 
     @property
-    def idle_for(self) -> float:
+    def idle_seconds(self) -> float:
         """Seconds since anything was heard."""
         return self._clock.now() - self._last_heard
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until both sides have proved that they belong.
 
         Raises
@@ -167,7 +167,7 @@
         self._unsent.append(encode_message(message))
         self._flush()
 
-    def send_soon(self, message: Message) -> None:
+    def send_batched(self, message: Message) -> None:
         """Send a message with all others of this turn of the event loop.
 
         Under load the calls to the system cost more than the messages; one
@@ -194,14 +194,14 @@
         self.send(message)
         return future
 
-    def run(self, message: Run, done: Callable[[RunReply | None], None]) -> None:
+    def send_run(self, message: Run, done: Callable[[RunReply | None], None]) -> None:
         """Send a run; ``done`` gets its reply, or None if the link is lost.
 
         Without a future or a task for each, a run costs a third as much as
         by :meth:`ask`.
         """
         self._callbacks[message.number] = done
-        self.send_soon(message)
+        self.send_batched(message)
 
     def forget(self, number: int) -> None:
         """Stop waiting for an answer."""
--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -59,7 +59,7 @@
     caller: str
     importance: int
     rank: float
-    time_left: int
+    time_left_ms: int
     attempts: int
     key: str
     idempotent: bool
@@ -101,7 +101,7 @@
     body: bytes
     request_id: bytes
     rank: float
-    time_left: int
+    time_left_ms: int
     idempotent: bool
     repeated: bool
     arrived: bool
--- a/packages/rattanfork-node/rattanfork_node/peer/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/pool.py
@@ -65,11 +65,11 @@
         return len(self._links)
 
     @property
-    def silent(self) -> int:
+    def silent_closed(self) -> int:
         """Connections dropped because they went silent."""
         return self._silent
 
-    def ready(self, member: Member) -> PeerLink | None:
+    def ready_link(self, member: Member) -> PeerLink | None:
         """Return the connection to a member, if there is one to use now."""
         link = self._links.get((member.host, member.peer_port))
         if link is not None and link.usable and link.peer == member.name:
@@ -177,11 +177,11 @@
         try:
             async with asyncio.timeout(self.CONNECT_TIMEOUT):
                 _, link = await loop.create_connection(self._make_link, host, port)
-                await link.ready()
+                await link.wait_ready()
         except (TimeoutError, OSError) as error:
             raise LinkLostError(f"no connection to {host}:{port}") from error
         if len(self._links) >= self._most:
-            oldest = max(self._links, key=lambda a: self._links[a].idle_for)
+            oldest = max(self._links, key=lambda a: self._links[a].idle_seconds)
             self._links.pop(oldest).close("too many connections")
         old = self._links.get(address)
         if old is not None:
--- a/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
@@ -132,7 +132,7 @@
     pair.deliver()
     assert not answer.done()
     assert not other.done()
-    assert near.late_answers == 2
+    assert near.late_replies == 2
 
 
 @on_loop
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -217,7 +217,7 @@
             self._submit_locally(member)
             return
         self._job = None
-        link = relay.pool.ready(member) if member is not None else None
+        link = relay.pool.ready_link(member) if member is not None else None
         if link is None:
             self._connect_and_send(member, command.attempt)
         else:
@@ -273,7 +273,7 @@
             attempt,
             exchange.account_name,
         )
-        link.run(run, lambda reply: self._on_reply(attempt, member.name, reply))
+        link.send_run(run, lambda reply: self._on_reply(attempt, member.name, reply))
 
     def _connect_and_send(self, member: Member | None, attempt: int) -> None:
         """Open a link and send the attempt, unless it has ended by then."""
@@ -394,7 +394,7 @@
                 if member is not None and link is not None:
                     async with asyncio.timeout(_FENCE_TIMEOUT_S):
                         [verdict] = await self._relay.pool.fence_calls(
-                            member, link.connection, [number]
+                            member, link.connection_id, [number]
                         )
             except (LinkLostError, TimeoutError, ValueError):
                 self._relay.counters.events["relay.fence-unanswered"] += 1
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -9,6 +9,7 @@
 
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.peer import (
+    BasePeerHandler,
     BurnRequest,
     Call,
     ConfigurationReply,
@@ -18,7 +19,6 @@
     FenceKey,
     FenceReply,
     FrameError,
-    LedgeredPeerHandler,
     PeerLink,
     Run,
     RunReply,
@@ -28,7 +28,7 @@
 from rattanfork_node.telemetry import Counters
 
 
-class RelayPeerHandler(LedgeredPeerHandler):
+class RelayPeerHandler(BasePeerHandler):
     """Handles runs, cancels, fences and configuration requests from peer nodes.
 
     Parameters
@@ -75,7 +75,7 @@
             run.body,
             run.request_id,
             run.rank,
-            self._clock.now() + run.time_left / 1000,
+            self._clock.now() + run.time_left_ms / 1000,
             run.idempotent,
             run.repeated,
             run.arrived,
@@ -132,7 +132,7 @@
     ) -> Callable[[CallResult], None]:
         def reply(result: CallResult) -> None:
             link.calls.pop(number, None)
-            link.send_soon(
+            link.send_batched(
                 RunReply(
                     number,
                     int(result.outcome),
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -155,7 +155,7 @@
 class FakeLink:
     """A link to a peer node that is played by the test."""
 
-    connection = "c1"
+    connection_id = "c1"
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
@@ -167,7 +167,7 @@
         self.number += 1
         return self.number
 
-    def run(self, run, done) -> None:
+    def send_run(self, run, done) -> None:
         self.runs.append((run, done))
 
     def send(self, message) -> None:
@@ -199,7 +199,7 @@
         self.verdicts: list = []
         self.fenced: list = []
 
-    def ready(self, member) -> FakeLink | None:
+    def ready_link(self, member) -> FakeLink | None:
         return self.links.get(member.name)
 
     async def open(self, address) -> FakeLink:
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_client_accounts.py
@@ -178,7 +178,7 @@
     harness.clock.advance(0.3)
     [on_verdict] = harness.quota.pending
     on_verdict(QuotaDecision.GRANTED, 0.0)
-    assert run_of(harness).time_left <= 500
+    assert run_of(harness).time_left_ms <= 500
 
 
 @on_loop
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -26,7 +26,7 @@
     [link] = harness.links
     run, _ = link.runs[0]
     assert b"Rattanfork-Caller: s\r\n" in run.block
-    assert 900 < run.time_left <= 1000
+    assert 900 < run.time_left_ms <= 1000
     link.reply(0, ANSWERED, status=200)
     assert exchange.output == (200, b"", b"body")
 
@@ -226,7 +226,7 @@
     job, _ = harness.gate_harness.submit("run", deadline=harness.clock.now() + 0.3)
     exchange = harness.send_request("/i/x", request_id="run.0123456789abcdef")
     run, _ = harness.links[0].runs[0]
-    assert run.time_left <= 300
+    assert run.time_left_ms <= 300
     harness.gate.cancel(job)
     assert [type(m) for m in harness.links[0].sent] == [Cancel]
     assert exchange.answered
@@ -354,7 +354,7 @@
     [(link, index)] = harness.runs
     run = link.runs[index][0]
     assert run.rank < 1
-    assert run.time_left <= 500
+    assert run.time_left_ms <= 500
     assert not run.idempotent
     failed = Reason.UPSTREAM_FAILED
     link.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
