--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -145,7 +145,7 @@
             [(host, int(port)) for host, port in seeds],
             self._counters,
         )
-        self._handler.connect(self._member)
+        self._handler.set_gossip_task(self._member)
         self._config = RulesPoller(
             self._clock,
             self._random,
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -60,7 +60,7 @@
 
     def on_call(self, link: PeerLink, call: Call) -> None:
         """Run a call and reply on the link."""
-        ledger = self.ledger_for(link, call.number)
+        ledger = self.register_request(link, call.number)
         if not 0 <= call.importance < RANK_LIMIT or not 0 <= call.rank < RANK_LIMIT:
             raise FrameError("importance or rank out of range")
         task = asyncio.ensure_future(self._run(link, call, ledger))
@@ -78,7 +78,7 @@
         if isinstance(fence, FenceKey):
             verdicts = [self._guard.fence_key(fence.key)]
         else:
-            verdicts = self.fence(fence)
+            verdicts = self.fence_connection(fence)
         link.send(FenceReply(fence.number, [int(verdict) for verdict in verdicts]))
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -232,7 +232,7 @@
             [],
             self._counters,
         )
-        self._handler.connect(self._member)
+        self._handler.set_gossip_task(self._member)
         self._gate_news = GateReportTask(
             self._reports, self._membership, self._member, self._gate
         )
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -48,7 +48,7 @@
         self._links: set[PeerLink] = set()
         self._member: GossipTask | None = None
 
-    def connect(self, member: GossipTask) -> None:
+    def set_gossip_task(self, member: GossipTask) -> None:
         """Take the member task, which is made after this."""
         self._member = member
 
@@ -85,7 +85,7 @@
         """Count a frame that was refused."""
         self._counters.events["peer.bad-frame"] += 1
 
-    def ledger_for(self, link: PeerLink, number: int) -> ConnectionLedger:
+    def register_request(self, link: PeerLink, number: int) -> ConnectionLedger:
         """Return the ledger in which a request has just arrived.
 
         Raises
@@ -99,7 +99,7 @@
             raise FrameError("a request's number is taken")
         return ledger
 
-    def fence(self, fence: Fence) -> list[FenceVerdict]:
+    def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
         """Refuse a connection's requests from now on; judge some of them."""
         ledger = self._ledgers.get(fence.connection)
         if ledger is None:
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -61,7 +61,7 @@
 
     def on_run(self, link: PeerLink, run: Run) -> None:
         """Submit a run to the gate."""
-        ledger = self.ledger_for(link, run.number)
+        ledger = self.register_request(link, run.number)
         if not 0 <= run.rank < RANK_LIMIT:
             raise FrameError("rank of a run is out of range")
         if not run.account.isprintable():
@@ -99,7 +99,7 @@
         self._counters.events["fences"] += 1
         if isinstance(fence, FenceKey):
             raise FrameError("fencing by key is not supported by a routing node")
-        verdicts = [int(verdict) for verdict in self.fence(fence)]
+        verdicts = [int(verdict) for verdict in self.fence_connection(fence)]
         link.send(FenceReply(fence.number, verdicts))
 
     def on_configuration(self, link: PeerLink, request: ConfigurationRequest) -> None:
