--- a/packages/rattanfork-node/rattanfork_node/peer/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/__init__.py
@@ -1,4 +1,8 @@
-"""Streams between nodes."""
+"""Connections between nodes: framing, handshake, requests and replies.
+
+Both request paths use them: ``Call`` carries a request of the call path (packages
+edge, call_ingress and call_gate), ``Run`` one of the route path (package relay).
+"""
 
 from rattanfork_node.peer.base_handler import BasePeerHandler
 from rattanfork_node.peer.errors import FrameError, LinkLostError
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -1,4 +1,4 @@
-"""What every node answers its peers, whatever it serves them."""
+"""Peer requests that every node answers, on either request path."""
 
 from __future__ import annotations
 
@@ -25,12 +25,19 @@
     from rattanfork_node.peer.link import PeerLink
     from rattanfork_node.telemetry import Counters
 
-#: Connections whose requests are remembered after they are closed.
-_MOST_LEDGERS = 2000
+#: Maximum ledgers kept, those of closed connections included.
+_MAX_LEDGERS = 2000
 
 
 class BasePeerHandler(PeerHandler):
-    """Keeps a ledger for each connection, and answers of rules and members.
+    """Keeps a ledger per connection, and answers requests for rules and members.
+
+    Explanation
+    ===========
+
+    The ledger records which requests of a connection were handed over to the
+    upstream.  It is kept after the connection is closed, because the peer asks
+    over a new connection whether the requests that it lost were run.
 
     Parameters
     ==========
@@ -38,7 +45,7 @@
     rules : RevisionState
         The rules in force.
     counters : Counters
-        What happened.
+        Counts rejected frames.
     """
 
     def __init__(self, rules: RevisionState, counters: Counters) -> None:
@@ -46,62 +53,62 @@
         self._counters = counters
         self._ledgers: OrderedDict[str, ConnectionLedger] = OrderedDict()
         self._links: set[PeerLink] = set()
-        self._member: GossipTask | None = None
+        self._gossip_task: GossipTask | None = None
 
     def set_gossip_task(self, member: GossipTask) -> None:
-        """Take the member task, which is made after this."""
-        self._member = member
+        """Set the gossip task, which is created after this handler."""
+        self._gossip_task = member
 
     @property
     def links(self) -> set[PeerLink]:
-        """Accepted connections."""
+        """Accepted connections that are open."""
         return self._links
 
     def on_open(self, link: PeerLink) -> None:
-        """Take note of an authenticated connection."""
+        """Register an authenticated connection and create its ledger."""
         if link.connection_id in self._ledgers:
-            raise FrameError("the connection's name is taken")
+            raise FrameError("the connection ID is already in use")
         self._links.add(link)
         self._ledgers[link.connection_id] = ConnectionLedger()
-        if len(self._ledgers) > _MOST_LEDGERS:
-            # A fence for a connection that is forgotten is answered
-            # "unknown", never "not run".
+        if len(self._ledgers) > _MAX_LEDGERS:
+            # A fence for an evicted connection is answered "unknown", never
+            # "not run".
             self._ledgers.popitem(last=False)
 
     def on_rules(self, link: PeerLink, request: RulesRequest) -> None:
-        """Reply with the rules held."""
+        """Reply with the cached rules."""
         link.send(rules_reply(self._rules, request))
 
     def on_sync(self, link: PeerLink, request: SyncRequest) -> None:
-        """Reply with the records that differ."""
-        members = self._member.differing_records(request)
+        """Reply with the member records that differ from the digest."""
+        members = self._gossip_task.differing_records(request)
         link.send(SyncReply(request.number, members))
 
     def on_closed(self, link: PeerLink) -> None:
-        """Take note that a connection is gone."""
+        """Remove a closed connection; its ledger is kept."""
         self._links.discard(link)
 
     def on_bad_frame(self, reason: str) -> None:
-        """Count a frame that was refused."""
+        """Count a rejected frame."""
         self._counters.events["peer.bad-frame"] += 1
 
     def register_request(self, link: PeerLink, number: int) -> ConnectionLedger:
-        """Return the ledger in which a request has just arrived.
+        """Record the arrival of a request, and return its connection's ledger.
 
         Raises
         ======
 
         FrameError
-            If the request's number was taken before.
+            If the number was used before on this connection.
         """
         ledger = self._ledgers.get(link.connection_id)
         if ledger is None or not ledger.arrive(number):
-            raise FrameError("a request's number is taken")
+            raise FrameError("the request number is already in use")
         return ledger
 
     def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
-        """Refuse a connection's requests from now on; judge some of them."""
-        ledger = self._ledgers.get(fence.connection)
+        """Refuse further requests of a connection; return verdicts on some."""
+        ledger = self._ledgers.get(fence.connection_id)
         if ledger is None:
             return [FenceVerdict.UNKNOWN] * len(fence.calls)
         return ledger.fence(fence.calls)
--- a/packages/rattanfork-node/rattanfork_node/peer/handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/handler.py
@@ -1,4 +1,4 @@
-"""What a node does with messages from other nodes."""
+"""Interface of the handler for requests from other nodes."""
 
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
@@ -21,52 +21,52 @@
 
 
 class PeerHandler(ABC):
-    """Takes the requests that arrive on accepted connections."""
+    """Handles the requests and events of accepted connections."""
 
     @abstractmethod
     def on_open(self, link: "PeerLink") -> None:
-        """Take note of an authenticated connection."""
+        """Register a connection that completed the handshake."""
 
     @abstractmethod
     def on_call(self, link: "PeerLink", call: Call) -> None:
-        """Run a call and reply on the link."""
+        """Run a request of the call path and send the reply on the link."""
 
     def on_run(self, link: "PeerLink", run: Run) -> None:
-        """Run a request and reply on the link."""
-        raise FrameError("runs are not served here")
+        """Run a request of the route path and send the reply on the link."""
+        raise FrameError("this node does not serve runs")
 
     def on_configuration(self, link: "PeerLink", request: ConfigurationRequest) -> None:
-        """Reply with the configuration held."""
-        raise FrameError("no configuration is held here")
+        """Reply with the cached configuration."""
+        raise FrameError("this node does not serve configurations")
 
     @abstractmethod
     def on_cancel(self, link: "PeerLink", number: int) -> None:
-        """Stop a call."""
+        """Cancel the call or run with this number."""
 
     @abstractmethod
     def on_fence(self, link: "PeerLink", fence: Fence | FenceKey) -> None:
-        """Fence and reply."""
+        """Fence the connection or key, and reply with the verdicts."""
 
     @abstractmethod
     def on_rules(self, link: "PeerLink", request: RulesRequest) -> None:
-        """Reply with the rules held."""
+        """Reply with the cached rules."""
 
     @abstractmethod
     def on_sync(self, link: "PeerLink", request: SyncRequest) -> None:
-        """Reply with the records that differ."""
+        """Reply with the member records that differ from the digest."""
 
     @abstractmethod
     def on_burn(self, link: "PeerLink", request: BurnRequest) -> None:
-        """Reply with this node's totals."""
+        """Reply with this node's totals for the burn report."""
 
     @abstractmethod
     def on_epoch(self, link: "PeerLink", request: EpochRequest) -> None:
-        """Reply with the guard's epoch of keys."""
+        """Reply with the call gate's current key epoch."""
 
     @abstractmethod
     def on_closed(self, link: "PeerLink") -> None:
-        """Take note that a connection is gone."""
+        """Remove a connection that was closed."""
 
     @abstractmethod
     def on_bad_frame(self, reason: str) -> None:
-        """Count a frame that was refused."""
+        """Count a rejected frame."""
--- a/packages/rattanfork-node/rattanfork_node/peer/handshake.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/handshake.py
@@ -1,4 +1,4 @@
-"""How two nodes prove to each other that they belong together."""
+"""Proofs of the shared key in the handshake, and the frame decoder."""
 
 import hmac
 
@@ -6,38 +6,38 @@
 
 from rattanfork_node.peer.errors import FrameError
 
-#: First size of a connection's buffer; by default it would be the largest.
-_READ_BYTES = 16 << 10
+#: Initial buffer of a connection; msgpack's default is the maximum size.
+_INITIAL_BUFFER_BYTES = 16 << 10
 
 
 def make_proof(
     key: bytes, role: bytes, first: bytes, second: bytes, node: str
 ) -> bytes:
-    """Return the proof that a node knows the key, for these nonces only."""
+    """Return the HMAC by which a node proves the key, bound to these nonces."""
     text = b"|".join((role, first, second, node.encode()))
     return hmac.digest(key, text, "sha256")
 
 
 def check_proof(proof: bytes, expected: bytes) -> None:
-    """Check a peer's proof.
+    """Check the proof of a peer in constant time.
 
     Raises
     ======
 
     FrameError
-        If it is not the one expected.
+        If the proof differs from the expected one.
     """
     if not hmac.compare_digest(proof, expected):
-        raise FrameError("the peer does not know the key")
+        raise FrameError("the peer's proof does not match the shared key")
 
 
 def make_unpacker(size: int) -> msgpack.Unpacker:
-    """Return an unpacker that holds at most ``size`` bytes."""
+    """Return an unpacker that buffers at most ``size`` bytes."""
     return msgpack.Unpacker(
         raw=False,
         use_list=True,
         strict_map_key=True,
-        read_size=min(size, _READ_BYTES),
+        read_size=min(size, _INITIAL_BUFFER_BYTES),
         max_buffer_size=size,
         max_str_len=size,
         max_bin_len=size,
--- a/packages/rattanfork-node/rattanfork_node/peer/link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/link.py
@@ -1,4 +1,4 @@
-"""One connection between two nodes."""
+"""Protocol of one connection between two nodes, for either side."""
 
 import asyncio
 import os
@@ -12,8 +12,8 @@
 from rattanfork_node.peer.handler import PeerHandler
 from rattanfork_node.peer.handshake import check_proof, make_proof, make_unpacker
 from rattanfork_node.peer.messages import (
-    ANSWERS,
     PROTOCOL_VERSION,
+    REPLIES,
     BurnRequest,
     Call,
     Cancel,
@@ -35,28 +35,30 @@
     encode_message,
 )
 
-#: Bytes taken from a peer that has not proved that it belongs.
-_STRANGER_BYTES = 2048
-#: Room in a frame beside the body.
-_FRAME_ROOM = 256 << 10
+#: Buffer for a peer that has not yet proved that it has the shared key.
+_HANDSHAKE_BUFFER_BYTES = 2048
+#: Bytes of a frame beside the body, such as headers.
+_FRAME_OVERHEAD_BYTES = 256 << 10
 
 
 class PeerLink(asyncio.Protocol):
-    """One connection between two nodes, seen from either side.
+    """Protocol of one connection between two nodes, for either side.
 
     Explanation
     ===========
 
-    The accepting side sends a challenge; both sides prove that they know the
-    shared key before anything else is taken, and until then the buffer is
-    small.  Answers are matched by their number on this connection alone, so
-    an answer that comes late over an old connection finds no one waiting and
-    is dropped: it can't reach another caller.
+    The accepting side sends a challenge.  Both sides prove that they have the
+    shared key before any other message is accepted, and until then the receive
+    buffer is small.
 
-    The connecting side sends heartbeats and calls the connection silent when
-    nothing has *arrived* for a while although something was asked.  Bytes
-    that the kernel accepted prove nothing: a device between the two ends
-    may have lost track of the connection.
+    Replies are matched to requests by a number that is local to the connection.
+    A late reply, or one on an old connection, matches no pending request and is
+    dropped, so it can't reach another caller.
+
+    The connecting side sends pings and closes the connection if no data *arrives*
+    within the silence timeout although a request or ping is pending.  Successful
+    writes prove nothing: the kernel accepts them even if a device between the two
+    ends has dropped the state of the connection.
 
     Parameters
     ==========
@@ -64,15 +66,15 @@
     clock : Clock
         Source of the current time.
     key : bytes
-        The secret all nodes share.
+        Secret shared by all nodes.
     node : str
         This node's name.
     data_centre : str
-        Where this node runs.
+        Data centre of this node.
     handler : PeerHandler
-        Takes what is asked of this node.
-    body_limit : int
-        Most bytes of a body.
+        Handles requests from the peer.
+    max_body_bytes : int
+        Maximum size of a body.
     connecting : bool
         Whether this side opened the connection.
     """
@@ -84,7 +86,7 @@
         node: str,
         data_centre: str,
         handler: PeerHandler,
-        body_limit: int,
+        max_body_bytes: int,
         connecting: bool,
     ) -> None:
         self._clock = clock
@@ -92,86 +94,87 @@
         self._node = node
         self._data_centre = data_centre
         self._handler = handler
-        self._body_limit = body_limit
-        self._connecting = connecting
+        self._max_body_bytes = max_body_bytes
+        self._is_client = connecting
         self._transport: asyncio.Transport | None = None
         self._nonce = os.urandom(16)
-        self._connection = os.urandom(8).hex()
+        self._connection_id = os.urandom(8).hex()
         self._peer = ""
         self._peer_data_centre = ""
-        self._open = False
+        self._authenticated = False
         self._closed = False
-        self._number = 0
-        self._waiting: dict[int, asyncio.Future] = {}
-        self._callbacks: dict[int, Callable[[RunReply | None], None]] = {}
+        self._last_number = 0
+        self._reply_futures: dict[int, asyncio.Future] = {}
+        self._run_callbacks: dict[int, Callable[[RunReply | None], None]] = {}
         self._unsent: list[bytes] = []
         self._ready: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._ready.add_done_callback(_retrieve)
-        self._unpacker = make_unpacker(_STRANGER_BYTES)
-        self._last_heard = clock.now()
-        self._last_beat = clock.now()
-        self._ping_sent = 0.0
-        self._late_answers = 0
+        self._ready.add_done_callback(_consume_exception)
+        self._unpacker = make_unpacker(_HANDSHAKE_BUFFER_BYTES)
+        self._last_received = clock.now()
+        self._last_heartbeat = clock.now()
+        self._ping_sent_at = 0.0
+        self._late_replies = 0
+        #: Tasks or jobs of the peer's requests by number, kept by the handler.
         self.calls: dict[int, Any] = {}
 
     @property
     def connection_id(self) -> str:
-        """Identifies this connection to both ends."""
-        return self._connection
+        """ID of this connection, known to both sides."""
+        return self._connection_id
 
     @property
     def peer(self) -> str:
-        """The name that the other node has proved to hold the key under."""
+        """Member name of the peer, covered by its proof."""
         return self._peer
 
     @property
     def peer_data_centre(self) -> str:
-        """Where the other node says it is."""
+        """Data centre that the peer reported."""
         return self._peer_data_centre
 
     @property
     def usable(self) -> bool:
-        """Whether calls may be sent."""
-        return self._open and not self._closed
+        """Whether requests may be sent."""
+        return self._authenticated and not self._closed
 
     @property
     def closed(self) -> bool:
-        """Whether the connection is gone."""
+        """Whether the connection was lost or closed."""
         return self._closed
 
     @property
     def late_replies(self) -> int:
-        """Answers dropped because nobody waits for them."""
-        return self._late_answers
+        """Replies dropped because no request was pending for them."""
+        return self._late_replies
 
     @property
     def idle_seconds(self) -> float:
-        """Seconds since anything was heard."""
-        return self._clock.now() - self._last_heard
+        """Seconds since data was last received."""
+        return self._clock.now() - self._last_received
 
     async def wait_ready(self) -> None:
-        """Wait until both sides have proved that they belong.
+        """Wait until the handshake is complete.
 
         Raises
         ======
 
         LinkLostError
-            If the connection is lost first.
+            If the connection is lost before.
         """
         await asyncio.shield(self._ready)
 
     def send(self, message: Message) -> None:
-        """Send a message; does nothing on a connection that is gone."""
+        """Send a message; ignored if the connection is closed."""
         if self._closed or self._transport is None:
             return
         self._unsent.append(encode_message(message))
         self._flush()
 
     def send_batched(self, message: Message) -> None:
-        """Send a message with all others of this turn of the event loop.
+        """Send a message in one write with others of this event loop iteration.
 
-        Under load the calls to the system cost more than the messages; one
-        write for a turn saves most of them.  Order is kept.
+        Under load, system calls cost more CPU time than encoding; one write per
+        iteration avoids most of them.  Messages keep their order.
         """
         if self._closed or self._transport is None:
             return
@@ -180,127 +183,127 @@
         self._unsent.append(encode_message(message))
 
     def next_number(self) -> int:
-        """Return the number for the next request on this connection."""
-        self._number += 1
-        return self._number
+        """Return a new request number of this connection."""
+        self._last_number += 1
+        return self._last_number
 
     def ask(self, message: Message) -> asyncio.Future:
-        """Send a request; the future brings its answer or LinkLostError."""
+        """Send a request; the future gets its reply or LinkLostError."""
         future = asyncio.get_running_loop().create_future()
         if not self.usable:
-            future.set_exception(LinkLostError("the connection is gone"))
+            future.set_exception(LinkLostError("the connection is closed"))
             return future
-        self._waiting[message.number] = future
+        self._reply_futures[message.number] = future
         self.send(message)
         return future
 
     def send_run(self, message: Run, done: Callable[[RunReply | None], None]) -> None:
         """Send a run; ``done`` gets its reply, or None if the link is lost.
 
-        Without a future or a task for each, a run costs a third as much as
-        by :meth:`ask`.
+        A callback in place of a future and a task cuts the cost of a run to a
+        third of that of :meth:`ask`.
         """
-        self._callbacks[message.number] = done
+        self._run_callbacks[message.number] = done
         self.send_batched(message)
 
     def forget(self, number: int) -> None:
-        """Stop waiting for an answer."""
-        self._waiting.pop(number, None)
-        self._callbacks.pop(number, None)
+        """Drop a pending request; its reply will be ignored."""
+        self._reply_futures.pop(number, None)
+        self._run_callbacks.pop(number, None)
 
     def heartbeat(self, silence: float, idle: float) -> None:
-        """Ping if quiet, and close if silent; call several times a second.
+        """Ping an idle peer and close on timeout; call several times a second.
 
         Parameters
         ==========
 
         silence : float
-            Seconds without any answer after which the connection is lost.
+            Silence timeout: seconds without data from the peer.
         idle : float
-            Seconds between heartbeats while nothing is asked.
+            Seconds between pings while no request is pending.
         """
-        if not self.usable or not self._connecting:
+        if not self.usable or not self._is_client:
             return
         now = self._clock.now()
-        slept = now - self._last_beat > silence / 2
-        self._last_beat = now
-        if slept or self._last_heard >= self._ping_sent:
-            # After a pause of this process, answers may lie unread in the
-            # socket: what looks like silence is not the peer's.
-            self._ping_sent = 0.0
-        if self._ping_sent:
-            if now - self._ping_sent > 0.75 * silence:
-                self.close("silent")
-        elif now - self._last_heard > (silence / 4 if self._awaits else idle):
-            # A call may run longer than the limit; the heartbeat is answered
-            # at once, and so tells silence from work.
-            self._ping_sent = now
+        paused = now - self._last_heartbeat > silence / 2
+        self._last_heartbeat = now
+        if paused or self._last_received >= self._ping_sent_at:
+            # After a pause of this process, replies may be unread in the socket
+            # buffer, so the time without data does not count against the peer.
+            self._ping_sent_at = 0.0
+        if self._ping_sent_at:
+            if now - self._ping_sent_at > 0.75 * silence:
+                self.close("no reply to a ping within the silence timeout")
+        elif now - self._last_received > (silence / 4 if self._has_pending else idle):
+            # A request may take longer than the silence timeout.  A ping is
+            # answered at once, which distinguishes a busy peer from a lost one.
+            self._ping_sent_at = now
             self.send(Ping(0))
 
     def close(self, reason: str) -> None:
-        """Drop the connection at once; all that wait are told."""
+        """Abort the connection and fail all pending requests."""
         if self._transport is not None:
             self._transport.abort()
-        self._lose(reason)
+        self._mark_lost(reason)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the handshake."""
+        """Start the handshake."""
         self._transport = transport
-        if not self._connecting:
+        if not self._is_client:
             self.send(Challenge(PROTOCOL_VERSION, self._nonce))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell all that wait."""
-        self._lose("closed by the other side" if error is None else str(error))
+        """Fail all pending requests."""
+        self._mark_lost("closed by the peer" if error is None else str(error))
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes."""
-        self._last_heard = self._clock.now()
+        """Decode frames and dispatch their messages."""
+        self._last_received = self._clock.now()
         try:
             self._unpacker.feed(data)
             for frame in self._unpacker:
-                self._take(decode_message(frame))
+                self._dispatch(decode_message(frame))
                 if self._closed:
                     return
         except (FrameError, msgpack.exceptions.UnpackException, ValueError) as error:
-            # Nothing after a bad frame can be trusted to start at a frame.
+            # After a bad frame the start of the next one is not known.
             self._handler.on_bad_frame(str(error))
             self.close(f"bad frame: {error}")
 
     @property
-    def _awaits(self) -> bool:
-        return bool(self._waiting or self._callbacks)
+    def _has_pending(self) -> bool:
+        return bool(self._reply_futures or self._run_callbacks)
 
     def _flush(self) -> None:
         unsent, self._unsent = self._unsent, []
         if unsent and not self._closed:
             self._transport.write(b"".join(unsent))
 
-    def _take(self, message: Message) -> None:
-        if not self._open:
-            self._take_handshake(message)
+    def _dispatch(self, message: Message) -> None:
+        if not self._authenticated:
+            self._advance_handshake(message)
         elif type(message) is RunReply:
-            done = self._callbacks.pop(message.number, None)
+            done = self._run_callbacks.pop(message.number, None)
             if done is None:
-                self._late_answers += 1
+                self._late_replies += 1
             else:
                 done(message)
-        elif isinstance(message, ANSWERS):
-            future = self._waiting.pop(message.number, None)
+        elif isinstance(message, REPLIES):
+            future = self._reply_futures.pop(message.number, None)
             if future is None or future.done():
-                self._late_answers += 1
+                self._late_replies += 1
             else:
                 future.set_result(message)
         elif isinstance(message, Ping):
             self.send(Pong(message.number))
         elif isinstance(message, Pong):
             pass
-        elif self._connecting:
-            raise FrameError(f"{type(message).__name__} is not expected here")
+        elif self._is_client:
+            raise FrameError(f"{type(message).__name__}: not valid from a server")
         else:
-            self._take_request(message)
+            self._dispatch_request(message)
 
-    def _take_request(self, message: Message) -> None:
+    def _dispatch_request(self, message: Message) -> None:
         handler = self._handler
         if isinstance(message, Run):
             handler.on_run(self, message)
@@ -321,66 +324,70 @@
         elif isinstance(message, ConfigurationRequest):
             handler.on_configuration(self, message)
         else:
-            raise FrameError(f"{type(message).__name__} is not expected here")
+            raise FrameError(f"{type(message).__name__}: not a request")
 
-    def _take_handshake(self, message: Message) -> None:
-        if self._connecting and isinstance(message, Challenge):
+    def _advance_handshake(self, message: Message) -> None:
+        if self._is_client and isinstance(message, Challenge):
             if message.version != PROTOCOL_VERSION:
-                raise FrameError("another version of the protocol")
+                raise FrameError("the peer has another protocol version")
             proof = self._proof(b"hello", message.nonce, self._nonce, self._node)
             self.send(
                 Hello(
-                    PROTOCOL_VERSION, self._node, self._connection, self._nonce, proof
+                    PROTOCOL_VERSION,
+                    self._node,
+                    self._connection_id,
+                    self._nonce,
+                    proof,
                 )
             )
-        elif self._connecting and isinstance(message, Welcome):
+        elif self._is_client and isinstance(message, Welcome):
             expected = self._proof(b"welcome", self._nonce, b"", message.node)
             check_proof(message.proof, expected)
             self._peer, self._peer_data_centre = message.node, message.data_centre
-            self._opened()
-        elif not self._connecting and isinstance(message, Hello):
+            self._complete_handshake()
+        elif not self._is_client and isinstance(message, Hello):
             if message.version != PROTOCOL_VERSION:
-                raise FrameError("another version of the protocol")
+                raise FrameError("the peer has another protocol version")
             expected = self._proof(b"hello", self._nonce, message.nonce, message.node)
             check_proof(message.proof, expected)
-            self._peer, self._connection = message.node, message.connection
+            self._peer, self._connection_id = message.node, message.connection_id
             proof = self._proof(b"welcome", message.nonce, b"", self._node)
             self.send(Welcome(self._node, self._data_centre, proof))
-            self._opened()
+            self._complete_handshake()
         else:
-            raise FrameError("a stranger")
+            raise FrameError("message not valid during the handshake")
 
     def _proof(self, role: bytes, first: bytes, second: bytes, node: str) -> bytes:
         return make_proof(self._key, role, first, second, node)
 
-    def _opened(self) -> None:
-        self._open = True
-        # The handshake is strictly one message at a time, so nothing can
-        # wait in the small unpacker that is replaced here.
-        self._unpacker = make_unpacker(self._body_limit + _FRAME_ROOM)
+    def _complete_handshake(self) -> None:
+        self._authenticated = True
+        # Each handshake message waits for the previous one, so the small
+        # unpacker that is replaced here holds no unread data.
+        self._unpacker = make_unpacker(self._max_body_bytes + _FRAME_OVERHEAD_BYTES)
         if not self._ready.done():
             self._ready.set_result(None)
-        if not self._connecting:
+        if not self._is_client:
             self._handler.on_open(self)
 
-    def _lose(self, reason: str) -> None:
+    def _mark_lost(self, reason: str) -> None:
         if self._closed:
             return
         self._closed = True
         error = LinkLostError(reason)
         if not self._ready.done():
             self._ready.set_exception(error)
-        waiting, self._waiting = self._waiting, {}
-        for future in waiting.values():
+        reply_futures, self._reply_futures = self._reply_futures, {}
+        for future in reply_futures.values():
             if not future.done():
                 future.set_exception(LinkLostError(reason))
-        callbacks, self._callbacks = self._callbacks, {}
-        for done in callbacks.values():
+        run_callbacks, self._run_callbacks = self._run_callbacks, {}
+        for done in run_callbacks.values():
             done(None)
-        if not self._connecting:
+        if not self._is_client:
             self._handler.on_closed(self)
 
 
-def _retrieve(future: asyncio.Future) -> None:
+def _consume_exception(future: asyncio.Future) -> None:
     if not future.cancelled():
         future.exception()
--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the streams between nodes.
+"""Messages between nodes.
 
-Each is a msgpack array: the number of its kind, then its fields in order.
-Times are durations in milliseconds; no wall-clock time travels.
+A message is a msgpack array: the number of its kind, then its fields in order.
+Times are durations in milliseconds; no wall-clock time is sent.
 """
 
 from typing import Any, NamedTuple
@@ -11,30 +11,30 @@
 from rattanfork_node.peer.errors import FrameError
 
 PROTOCOL_VERSION = 4
-#: Longest text in a message.
-_LONGEST_TEXT = 16_384
-_MOST_HEADERS = 200
+#: Maximum characters of a header or path.
+_MAX_TEXT_LENGTH = 16_384
+_MAX_HEADERS = 200
 
 
 class Challenge(NamedTuple):
-    """First message of the side that accepts a connection."""
+    """First message, sent by the accepting side."""
 
     version: int
     nonce: bytes
 
 
 class Hello(NamedTuple):
-    """Answer to a challenge; proves knowledge of the key."""
+    """Reply to a challenge, with the proof of the shared key."""
 
     version: int
     node: str
-    connection: str
+    connection_id: str
     nonce: bytes
     proof: bytes
 
 
 class Welcome(NamedTuple):
-    """The acceptor's proof, and who it is."""
+    """Proof and identity of the accepting side; completes the handshake."""
 
     node: str
     data_centre: str
@@ -42,10 +42,12 @@
 
 
 class Call(NamedTuple):
-    """Run a request at the receiver's upstream.
+    """Request of the call path, to be run at the receiver's upstream.
 
-    ``boot`` is the incarnation of the guard the sender means; ``rank`` the
-    place in the order of shedding; ``key`` an idempotency key or "".
+    ``boot`` is the incarnation of the call gate that it is meant for, ``rank``
+    its place in the order of shedding (higher ranks are shed first),
+    ``attempts`` the retries granted to its calls, and ``key`` its idempotency
+    key or "".
     """
 
     number: int
@@ -66,7 +68,11 @@
 
 
 class Reply(NamedTuple):
-    """What a call came to; with the guard's threshold and epoch of keys."""
+    """Result of a call, with the state of the call gate.
+
+    ``cut`` is the rank from which the gate sheds, ``epoch`` its key epoch, and
+    ``unused_attempts`` the granted retries that were not used.
+    """
 
     number: int
     outcome: int
@@ -82,14 +88,14 @@
 
 
 class Run(NamedTuple):
-    """Run a request at the receiver's upstream; headers travel as bytes.
-
-    ``boot`` is the incarnation of the guard the sender means, ``route`` the
-    name of the request's route, ``block`` its header lines, ``rank`` its
-    place in the order of shedding.  ``attempt`` counts what was sent for it;
-    ``arrived`` tells whether an earlier attempt may have reached an upstream, and
-    ``repeated`` whether the run that made it had been sent before.  ``account`` is the
-    name of the client account that sent it, or "".
+    """Request of the route path, to be run at the receiver's upstream.
+
+    ``boot`` is the incarnation of the gate that it is meant for, ``route`` the
+    name of its route, ``block`` its raw header lines, and ``rank`` its place in
+    the order of shedding (higher ranks are shed first).  ``attempt`` is the number
+    of the attempt, ``arrived`` tells whether an earlier one may have reached an
+    upstream, and ``repeated`` whether the run that made this request was itself a
+    retry.  ``account`` is the name of the client account, or "".
     """
 
     number: int
@@ -110,10 +116,11 @@
 
 
 class RunReply(NamedTuple):
-    """What a run came to, with the guard's threshold and load.
+    """Result of a run, with the state of the gate.
 
-    ``busy`` counts the requests that wait or run at the guard; ``reach`` names the
-    services that runs of the operation call, at any depth.
+    ``cut`` is the rank from which the gate sheds, ``busy`` its number of queued
+    and running requests; ``reach`` names the services that runs of the operation
+    call, at any depth.
     """
 
     number: int
@@ -129,16 +136,16 @@
 
 
 class ConfigurationRequest(NamedTuple):
-    """Asks for the configuration held, if it is newer than ``known``."""
+    """Requests the cached configuration if it is newer than version ``known``."""
 
     number: int
     known: int
 
 
 class ConfigurationReply(NamedTuple):
-    """The configuration held, as its source wrote it.
+    """The cached configuration, as its source wrote it.
 
-    Without ``document`` it is not newer than what the asker knows.
+    ``document`` is empty if the version is not newer than the requested one.
     """
 
     number: int
@@ -147,67 +154,74 @@
 
 
 class Cancel(NamedTuple):
-    """A call is no longer wanted."""
+    """Cancels a call or run; no reply is expected."""
 
     number: int
 
 
 class Fence(NamedTuple):
-    """Refuse all calls of a connection from now on; judge some of them."""
+    """Fences a connection: its requests that were not handed over never are.
+
+    ``calls`` are the numbers of the requests on which a verdict is requested.
+    """
 
     number: int
-    connection: str
+    connection_id: str
     calls: list
 
 
 class FenceKey(NamedTuple):
-    """Refuse a key from now on, if it was not handed over."""
+    """Fences an idempotency key: if it was not handed over, it never is."""
 
     number: int
     key: str
 
 
 class FenceReply(NamedTuple):
-    """The guard's word on each call or key."""
+    """Verdict on each fenced request, or on the key: run, not run or unknown."""
 
     number: int
     verdicts: list
 
 
 class EpochRequest(NamedTuple):
-    """Asks for the epoch in which keys are issued now."""
+    """Requests the call gate's current key epoch."""
 
     number: int
 
 
 class EpochReply(NamedTuple):
-    """The guard's epoch of keys."""
+    """The call gate's current key epoch."""
 
     number: int
     epoch: int
 
 
 class Ping(NamedTuple):
-    """Heartbeat."""
+    """Checks that the peer answers."""
 
     number: int
 
 
 class Pong(NamedTuple):
-    """Answer to a heartbeat."""
+    """Reply to a ping."""
 
     number: int
 
 
 class RulesRequest(NamedTuple):
-    """Asks for the rules held; no text is sent if they stand at the place known."""
+    """Requests the cached rules.
+
+    The reply has no text if ``known`` is the position of these rules in the
+    order of revisions.
+    """
 
     number: int
     known: int
 
 
 class RulesReply(NamedTuple):
-    """The rules held; ``ready`` tells whether they can be relied on."""
+    """The cached rules; ``ready`` tells whether the node admits requests by them."""
 
     number: int
     ready: bool
@@ -220,27 +234,27 @@
 
 
 class SyncRequest(NamedTuple):
-    """Digest of a view of the members."""
+    """Digest of the sender's membership view."""
 
     number: int
     digest: list
 
 
 class SyncReply(NamedTuple):
-    """Records in which the receiver's view differs; more may follow."""
+    """Member records in which the views differ; not necessarily all of them."""
 
     number: int
     members: list
 
 
 class BurnRequest(NamedTuple):
-    """Asks for the totals of the burn report."""
+    """Requests a node's totals for the burn report."""
 
     number: int
 
 
 class BurnReply(NamedTuple):
-    """Service, importance, rule, and good and bad for each window."""
+    """Service, importance, rule, and good and bad requests for each window."""
 
     number: int
     totals: list
@@ -272,8 +286,8 @@
     | ConfigurationReply
 )
 
-#: Messages that answer another by its number.
-ANSWERS = (
+#: Messages that reply to a request by its number.
+REPLIES = (
     RunReply,
     Reply,
     FenceReply,
@@ -285,9 +299,9 @@
 )
 
 _KINDS: tuple[type, ...] = Message.__args__
-_NUMBERS = {kind: number for number, kind in enumerate(_KINDS)}
-_TYPES = [tuple(kind.__annotations__.values()) for kind in _KINDS]
-_LONG_FIELDS = {_NUMBERS[RulesReply]}
+_KIND_NUMBERS = {kind: number for number, kind in enumerate(_KINDS)}
+_FIELD_TYPES = [tuple(kind.__annotations__.values()) for kind in _KINDS]
+_KINDS_WITH_LONG_TEXT = {_KIND_NUMBERS[RulesReply]}
 _pack = msgpack.Packer(autoreset=True).pack
 
 
@@ -300,7 +314,7 @@
     >>> list(encode_message(Ping(5)))
     [146, 9, 5]
     """
-    return _pack((_NUMBERS[type(message)], *message))
+    return _pack((_KIND_NUMBERS[type(message)], *message))
 
 
 def decode_message(frame: Any) -> Message:
@@ -323,18 +337,18 @@
     rattanfork_node.peer.errors.FrameError: Ping.number: int expected
     """
     if type(frame) is not list or not frame:
-        raise FrameError("a message is an array")
+        raise FrameError("a message must be a non-empty array")
     kind = frame[0]
     if type(kind) is not int or not 0 <= kind < len(_KINDS):
         raise FrameError("unknown kind of message")
-    types = _TYPES[kind]
+    types = _FIELD_TYPES[kind]
     if len(frame) != len(types) + 1:
         raise FrameError(f"{_KINDS[kind].__name__}: wrong number of fields")
     for value, expected in zip(frame[1:], types, strict=True):
         if type(value) is not expected:
-            raise _wrong_type(kind, frame)
+            raise _field_type_error(kind, frame)
     message = _KINDS[kind](*frame[1:])
-    if kind not in _LONG_FIELDS:
+    if kind not in _KINDS_WITH_LONG_TEXT:
         _check_bounds(message)
     return message
 
@@ -342,22 +356,22 @@
 def _check_bounds(message: Message) -> None:
     if type(message) in (Call, Reply):
         headers = message.headers
-        if len(headers) > _MOST_HEADERS:
+        if len(headers) > _MAX_HEADERS:
             raise FrameError("too many headers")
         for pair in headers:
             if type(pair) is not list or len(pair) != 2:
-                raise FrameError("a header is a pair of texts")
+                raise FrameError("a header must be a pair of strings")
             if type(pair[0]) is not str or type(pair[1]) is not str:
-                raise FrameError("a header is a pair of texts")
-            if len(pair[0]) + len(pair[1]) > _LONGEST_TEXT:
-                raise FrameError("a header is too long")
+                raise FrameError("a header must be a pair of strings")
+            if len(pair[0]) + len(pair[1]) > _MAX_TEXT_LENGTH:
+                raise FrameError("header is too long")
     if type(message) is RunReply and any(type(s) is not str for s in message.reach):
-        raise FrameError("the name of a service is a text")
-    if type(message) is Call and len(message.path) > _LONGEST_TEXT:
-        raise FrameError("the path is too long")
+        raise FrameError("RunReply.reach: names of services must be strings")
+    if type(message) is Call and len(message.path) > _MAX_TEXT_LENGTH:
+        raise FrameError("path is too long")
 
 
-def _wrong_type(kind: int, frame: list) -> FrameError:
+def _field_type_error(kind: int, frame: list) -> FrameError:
     name = _KINDS[kind].__name__
     annotations = _KINDS[kind].__annotations__
     for value, (field, expected) in zip(frame[1:], annotations.items(), strict=True):
--- a/packages/rattanfork-node/rattanfork_node/peer/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/pool.py
@@ -1,4 +1,4 @@
-"""Connections to other nodes."""
+"""Pool of outgoing connections to other nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,108 +25,108 @@
 
 
 class PeerPool:
-    """Keeps one connection to each node that is called.
+    """Keeps one connection to each node that this node sends requests to.
 
     Parameters
     ==========
 
     make_link : callable
-        Makes the protocol of a new connection.
+        Creates the protocol of a new connection.
     clock : Clock
         Source of the current time.
     silence : float
-        Seconds without an answer after which a connection is lost.
-    most : int
-        Most connections kept; the one unused longest goes first.
+        Seconds without data from a peer after which its connection is closed.
+    max_links : int
+        Maximum number of connections; the one idle longest is closed first.
     """
 
-    #: Seconds between heartbeats of a connection on which nothing is asked.
-    IDLE = 5.0
-    CONNECT_TIMEOUT = 1.0
+    #: Seconds between pings of a connection without pending requests.
+    IDLE_PING_INTERVAL_S = 5.0
+    CONNECT_TIMEOUT_S = 1.0
 
     def __init__(
         self,
         make_link: Callable[[], PeerLink],
         clock: Clock,
         silence: float = 1.0,
-        most: int = 512,
+        max_links: int = 512,
     ) -> None:
         self._make_link = make_link
         self._clock = clock
         self._silence = silence
-        self._most = most
+        self._max_links = max_links
         self._links: dict[Address, PeerLink] = {}
-        self._opening: dict[Address, asyncio.Task[PeerLink]] = {}
-        self._silent = 0
+        self._connecting: dict[Address, asyncio.Task[PeerLink]] = {}
+        self._silent_closed = 0
 
     @property
     def connected(self) -> int:
-        """Connections held."""
+        """Number of open connections."""
         return len(self._links)
 
     @property
     def silent_closed(self) -> int:
-        """Connections dropped because they went silent."""
-        return self._silent
+        """Number of connections closed by the silence timeout or by the peer."""
+        return self._silent_closed
 
     def ready_link(self, member: Member) -> PeerLink | None:
-        """Return the connection to a member, if there is one to use now."""
+        """Return the open connection to a member, or None."""
         link = self._links.get((member.host, member.peer_port))
         if link is not None and link.usable and link.peer == member.name:
             return link
         return None
 
     async def open(self, address: Address) -> PeerLink:
-        """Return a connection to an address, making it if need be.
+        """Return the connection to an address, opening it if there is none.
 
         Raises
         ======
 
         LinkLostError
-            If there is no connection within the time-out.
+            If no connection is open within the timeout.
         """
         link = self._links.get(address)
         if link is not None and link.usable:
             return link
-        task = self._opening.get(address)
+        task = self._connecting.get(address)
         if task is None:
             task = asyncio.ensure_future(self._connect(address))
-            self._opening[address] = task
-            task.add_done_callback(lambda done: self._on_opened(address, done))
+            self._connecting[address] = task
+            task.add_done_callback(lambda done: self._on_connect_done(address, done))
         return await asyncio.shield(task)
 
     async def fence_calls(
         self, member: Member, connection: str, calls: list[int]
     ) -> list[FenceVerdict]:
-        """Ask a guard to fence a connection, over another one.
+        """Fence a lost connection at its gate, over another connection.
 
         Raises
         ======
 
         LinkLostError
-            If the guard does not answer.
+            If the gate does not answer.
         """
         link = await self.open((member.host, member.peer_port))
         reply = await link.ask(Fence(link.next_number(), connection, calls))
         return [FenceVerdict(verdict) for verdict in reply.verdicts]
 
     async def fence_key(self, member: Member, key: str) -> FenceVerdict:
-        """Ask a guard to fence a key.
+        """Fence an idempotency key at its call gate.
 
         Raises
         ======
 
         LinkLostError
-            If the guard does not answer.
+            If the gate does not answer.
         """
         link = await self.open((member.host, member.peer_port))
         reply = await link.ask(FenceKey(link.next_number(), key))
         return FenceVerdict(reply.verdicts[0])
 
     async def ask_rules(self, address: Address, known: int) -> tuple[str, RulesReply]:
-        """Return a node's data centre and the rules it holds.
+        """Return a node's data centre and its cached rules.
 
-        The text is left out if the node holds revision ``known``.
+        The text is left out if the position of the rules is ``known``.
         """
         link = await self.open(address)
         reply = await link.ask(RulesRequest(link.next_number(), known))
@@ -138,53 +138,55 @@
         return await link.ask(BurnRequest(link.next_number()))
 
     async def ask_epoch(self, address: Address) -> int:
-        """Return a guard's epoch of keys."""
+        """Return the key epoch of a call gate."""
         link = await self.open(address)
         reply = await link.ask(EpochRequest(link.next_number()))
         return reply.epoch
 
     async def sync(self, address: Address, digest: list[int]) -> SyncReply:
-        """Return the records in which a node's view differs."""
+        """Return the member records in which a node's view differs."""
         link = await self.open(address)
         return await link.ask(SyncRequest(link.next_number(), digest))
 
     def heartbeat(self) -> None:
-        """Look after all connections; call several times a second."""
+        """Ping or close connections as needed; call several times a second."""
         for address, link in list(self._links.items()):
-            link.heartbeat(self._silence, self.IDLE)
+            link.heartbeat(self._silence, self.IDLE_PING_INTERVAL_S)
             if link.closed:
-                self._silent += 1
+                self._silent_closed += 1
                 self._links.pop(address, None)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections and cancel pending connects."""
         for link in list(self._links.values()):
-            link.close("this node stops")
+            link.close("this node is stopping")
         self._links.clear()
-        for task in list(self._opening.values()):
+        for task in list(self._connecting.values()):
             task.cancel()
 
-    def _on_opened(self, address: Address, task: asyncio.Task[PeerLink]) -> None:
-        self._opening.pop(address, None)
+    def _on_connect_done(self, address: Address, task: asyncio.Task[PeerLink]) -> None:
+        self._connecting.pop(address, None)
         if not task.cancelled():
-            # Whoever waited may have given up; a failure that nobody asks for
-            # would be reported as a fault of this program.
+            # If all waiters were cancelled, nobody retrieves the exception, and
+            # asyncio would log it as unhandled.
             task.exception()
 
     async def _connect(self, address: Address) -> PeerLink:
         loop = asyncio.get_running_loop()
         host, port = address
         try:
-            async with asyncio.timeout(self.CONNECT_TIMEOUT):
+            async with asyncio.timeout(self.CONNECT_TIMEOUT_S):
                 _, link = await loop.create_connection(self._make_link, host, port)
                 await link.wait_ready()
         except (TimeoutError, OSError) as error:
-            raise LinkLostError(f"no connection to {host}:{port}") from error
-        if len(self._links) >= self._most:
-            oldest = max(self._links, key=lambda a: self._links[a].idle_seconds)
-            self._links.pop(oldest).close("too many connections")
-        old = self._links.get(address)
-        if old is not None:
-            old.close("replaced")
+            raise LinkLostError(f"could not connect to {host}:{port}") from error
+        if len(self._links) >= self._max_links:
+            longest_idle = max(self._links, key=lambda a: self._links[a].idle_seconds)
+            self._links.pop(longest_idle).close(
+                "closed to stay within the connection limit"
+            )
+        replaced = self._links.get(address)
+        if replaced is not None:
+            replaced.close("replaced by a new connection")
         self._links[address] = link
         return link
--- a/packages/rattanfork-node/rattanfork_node/peer/rules.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/rules.py
@@ -1,4 +1,4 @@
-"""What a node tells others of the rules it holds."""
+"""Reply to a peer that requests the cached rules."""
 
 from rattanfork_core.revision import RevisionState
 
@@ -6,7 +6,7 @@
 
 
 def rules_reply(state: RevisionState, request: RulesRequest) -> RulesReply:
-    """Return the rules held; without their text if the asker has them."""
+    """Return the cached rules, without their text if the peer has them."""
     record = state.record
     text = "" if record.order == request.known else record.text
     return RulesReply(
--- a/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Streams between nodes: strangers, bad frames, silence, late answers."""
+"""Peer connections: handshake, malformed frames, silence, late replies."""
 
 import asyncio
 
@@ -25,8 +25,8 @@
 REPLY = Reply(1, 0, 0, 200, [], b"whole", 1, False, 0, 5.0, 1)
 
 
-class Wire(asyncio.Transport):
-    """Keeps what one side writes until the test delivers it."""
+class FakeTransport(asyncio.Transport):
+    """Buffers what one side writes until the test delivers it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,57 +44,57 @@
         return data
 
 
-class Handler:
-    """Keeps what a side was asked."""
+class RecordingHandler:
+    """Records the calls and rejected frames of one side."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
-        self.bad: list[str] = []
+        self.rejected: list[str] = []
 
     def on_call(self, link, call):
         self.calls.append(call)
 
     def on_bad_frame(self, reason):
-        self.bad.append(reason)
+        self.rejected.append(reason)
 
     def __getattr__(self, name):
         return lambda *arguments: None
 
 
-class Pair:
-    """Two ends of one connection."""
+class LinkPair:
+    """Both sides of one connection."""
 
     def __init__(self, keys=(b"key", b"key")) -> None:
         self.clock = ManualClock(100.0)
-        self.handlers = (Handler(), Handler())
+        self.handlers = (RecordingHandler(), RecordingHandler())
         self.links = tuple(
             PeerLink(self.clock, key, name, "dc", handler, 4096, connecting)
             for key, name, handler, connecting in zip(
                 keys, ("near", "far"), self.handlers, (True, False), strict=True
             )
         )
-        self.wires = (Wire(), Wire())
-        for link, wire in zip(self.links, self.wires, strict=True):
-            link.connection_made(wire)
+        self.transports = (FakeTransport(), FakeTransport())
+        for link, transport in zip(self.links, self.transports, strict=True):
+            link.connection_made(transport)
 
     def deliver(self) -> None:
         for _ in range(6):
             for side in (0, 1):
-                data = self.wires[side].take()
+                data = self.transports[side].take()
                 if data and not self.links[1 - side].closed:
                     self.links[1 - side].data_received(data)
 
 
-def on_loop(test):
+def on_event_loop(test):
     async def run():
         test()
 
     return lambda: uvloop.run(run())
 
 
-@on_loop
-def test_both_sides_prove_the_key_and_then_talk():
-    pair = Pair()
+@on_event_loop
+def test_links_with_same_key_exchange_messages():
+    pair = LinkPair()
     pair.deliver()
     near, far = pair.links
     assert near.usable
@@ -108,20 +108,20 @@
     assert answer.result() == REPLY
 
 
-@on_loop
-def test_without_the_key_nothing_is_taken():
-    pair = Pair(keys=(b"wrong", b"key"))
+@on_event_loop
+def test_peer_with_wrong_key_is_rejected():
+    pair = LinkPair(keys=(b"wrong", b"key"))
     pair.deliver()
     assert not pair.links[0].usable
     assert pair.links[1].closed
     assert pair.handlers[1].calls == []
 
 
-@on_loop
-def test_an_answer_nobody_waits_for_is_dropped():
-    # It came late, or doubled, or for a call that was given up: given to the
-    # next that waits, a caller would get another caller's answer.
-    pair = Pair()
+@on_event_loop
+def test_reply_without_pending_request_is_dropped():
+    # A late or duplicate reply, or one to a dropped request: matched to the next
+    # pending request, it would give a caller the response of another caller.
+    pair = LinkPair()
     pair.deliver()
     near, far = pair.links
     answer = near.ask(CALL)
@@ -135,11 +135,11 @@
     assert near.late_replies == 2
 
 
-@on_loop
-def test_a_silent_connection_is_found_and_its_calls_are_told():
-    # Something between the ends lost track of the connection: writes are
-    # taken, and nothing comes.
-    pair = Pair()
+@on_event_loop
+def test_silent_connection_is_closed_and_its_requests_fail():
+    # A device between the two sides dropped the connection's state: writes
+    # succeed, but no data arrives.
+    pair = LinkPair()
     pair.deliver()
     near = pair.links[0]
     answer = near.ask(CALL)
@@ -151,9 +151,9 @@
         answer.result()
 
 
-@on_loop
-def test_a_slow_call_on_a_live_connection_is_not_silence():
-    pair = Pair()
+@on_event_loop
+def test_slow_request_does_not_close_a_live_connection():
+    pair = LinkPair()
     pair.deliver()
     near = pair.links[0]
     near.ask(CALL)
@@ -164,10 +164,10 @@
     assert near.usable
 
 
-@on_loop
-def test_the_own_pause_is_not_taken_for_silence():
-    # This process was stopped; answers lie unread in its socket.
-    pair = Pair()
+@on_event_loop
+def test_pause_of_own_process_does_not_close_connection():
+    # After a pause of this process, replies may be unread in its socket buffer.
+    pair = LinkPair()
     pair.deliver()
     near = pair.links[0]
     near.ask(CALL)
@@ -179,25 +179,25 @@
     assert near.usable
 
 
-@on_loop
-def test_a_frame_over_the_limit_closes_the_connection():
-    pair = Pair()
+@on_event_loop
+def test_oversized_frame_closes_connection():
+    pair = LinkPair()
     pair.deliver()
     pair.links[0].send(CALL._replace(body=b"x" * 600_000))
     pair.deliver()
     assert pair.links[1].closed
-    assert len(pair.handlers[1].bad) == 1
+    assert len(pair.handlers[1].rejected) == 1
 
 
-JUNK = st.recursive(
+FRAMES = st.recursive(
     st.none() | st.booleans() | st.integers(-5, 300) | st.binary() | st.text(),
     lambda inner: st.lists(inner, max_size=16),
     max_leaves=20,
 )
 
 
-@given(JUNK)
-def test_any_frame_is_a_message_or_an_error(frame):
+@given(FRAMES)
+def test_decoding_any_frame_returns_message_or_raises_frame_error(frame):
     try:
         message = decode_message(frame)
     except FrameError:
@@ -206,9 +206,9 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_from_a_stranger_are_survived(data):
+def test_arbitrary_bytes_before_handshake_are_rejected(data):
     async def run():
-        pair = Pair()
+        pair = LinkPair()
         pair.links[1].data_received(data)
         assert pair.handlers[1].calls == []
 
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("message", [CALL, REPLY, Ping(1), Pong(2)])
-def test_messages_survive_the_wire(message):
+def test_message_is_unchanged_by_encoding_and_decoding(message):
     import msgpack
 
     assert decode_message(msgpack.unpackb(encode_message(message))) == message
