--- /dev/null
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -0,0 +1,114 @@
+"""Peer requests that every node answers, on either request path."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from typing import TYPE_CHECKING
+
+from rattanfork_core.atmostonce import ConnectionLedger
+from rattanfork_core.request import FenceVerdict
+
+from rattanfork_node.peer.errors import FrameError
+from rattanfork_node.peer.handler import PeerHandler
+from rattanfork_node.peer.messages import (
+    Fence,
+    RulesRequest,
+    SyncReply,
+    SyncRequest,
+)
+from rattanfork_node.peer.rules import rules_reply
+
+if TYPE_CHECKING:
+    from rattanfork_core.revision import RevisionState
+
+    from rattanfork_node.member import GossipTask
+    from rattanfork_node.peer.link import PeerLink
+    from rattanfork_node.telemetry import Counters
+
+#: Maximum ledgers kept, those of closed connections included.
+_MAX_LEDGERS = 2000
+
+
+class BasePeerHandler(PeerHandler):
+    """Keeps a ledger per connection, and answers requests for rules and members.
+
+    Explanation
+    ===========
+
+    The ledger records which requests of a connection were handed over to the
+    upstream.  It is kept after the connection is closed, because the peer asks
+    over a new connection whether the requests that it lost were run.
+
+    Parameters
+    ==========
+
+    rules : RevisionState
+        The rules in force.
+    counters : Counters
+        Counts rejected frames.
+    """
+
+    def __init__(self, rules: RevisionState, counters: Counters) -> None:
+        self._rules = rules
+        self._counters = counters
+        self._ledgers: OrderedDict[str, ConnectionLedger] = OrderedDict()
+        self._links: set[PeerLink] = set()
+        self._gossip_task: GossipTask | None = None
+
+    def set_gossip_task(self, member: GossipTask) -> None:
+        """Set the gossip task, which is created after this handler."""
+        self._gossip_task = member
+
+    @property
+    def links(self) -> set[PeerLink]:
+        """Accepted connections that are open."""
+        return self._links
+
+    def on_open(self, link: PeerLink) -> None:
+        """Register an authenticated connection and create its ledger."""
+        if link.connection_id in self._ledgers:
+            raise FrameError("the connection ID is already in use")
+        self._links.add(link)
+        self._ledgers[link.connection_id] = ConnectionLedger()
+        if len(self._ledgers) > _MAX_LEDGERS:
+            # A fence for an evicted connection is answered "unknown", never
+            # "not run".
+            self._ledgers.popitem(last=False)
+
+    def on_rules(self, link: PeerLink, request: RulesRequest) -> None:
+        """Reply with the cached rules."""
+        link.send(rules_reply(self._rules, request))
+
+    def on_sync(self, link: PeerLink, request: SyncRequest) -> None:
+        """Reply with the member records that differ from the digest."""
+        members = self._gossip_task.differing_records(request)
+        link.send(SyncReply(request.number, members))
+
+    def on_closed(self, link: PeerLink) -> None:
+        """Remove a closed connection; its ledger is kept."""
+        self._links.discard(link)
+
+    def on_bad_frame(self, reason: str) -> None:
+        """Count a rejected frame."""
+        self._counters.events["peer.bad-frame"] += 1
+
+    def register_request(self, link: PeerLink, number: int) -> ConnectionLedger:
+        """Record the arrival of a request, and return its connection's ledger.
+
+        Raises
+        ======
+
+        FrameError
+            If the number was used before on this connection.
+        """
+        ledger = self._ledgers.get(link.connection_id)
+        if ledger is None or not ledger.arrive(number):
+            raise FrameError("the request number is already in use")
+        return ledger
+
+    def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
+        """Refuse further requests of a connection; return verdicts on some."""
+        ledger = self._ledgers.get(fence.connection_id)
+        if ledger is None:
+            return [FenceVerdict.UNKNOWN] * len(fence.calls)
+        return ledger.fence(fence.calls)
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -9,6 +9,7 @@
 
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.peer import (
+    BasePeerHandler,
     BurnRequest,
     Call,
     ConfigurationReply,
@@ -18,7 +19,6 @@
     FenceKey,
     FenceReply,
     FrameError,
-    LedgeredPeerHandler,
     PeerLink,
     Run,
     RunReply,
@@ -28,7 +28,7 @@
 from rattanfork_node.telemetry import Counters
 
 
-class RelayPeerHandler(LedgeredPeerHandler):
+class RelayPeerHandler(BasePeerHandler):
     """Handles runs, cancels, fences and configuration requests from peer nodes.
 
     Parameters
@@ -61,7 +61,7 @@
 
     def on_run(self, link: PeerLink, run: Run) -> None:
         """Submit a run to the gate."""
-        ledger = self.ledger_for(link, run.number)
+        ledger = self.register_request(link, run.number)
         if not 0 <= run.rank < RANK_LIMIT:
             raise FrameError("rank of a run is out of range")
         if not run.account.isprintable():
@@ -75,7 +75,7 @@
             run.body,
             run.request_id,
             run.rank,
-            self._clock.now() + run.time_left / 1000,
+            self._clock.now() + run.time_left_ms / 1000,
             run.idempotent,
             run.repeated,
             run.arrived,
@@ -99,7 +99,7 @@
         self._counters.events["fences"] += 1
         if isinstance(fence, FenceKey):
             raise FrameError("fencing by key is not supported by a routing node")
-        verdicts = [int(verdict) for verdict in self.fence(fence)]
+        verdicts = [int(verdict) for verdict in self.fence_connection(fence)]
         link.send(FenceReply(fence.number, verdicts))
 
     def on_configuration(self, link: PeerLink, request: ConfigurationRequest) -> None:
@@ -132,7 +132,7 @@
     ) -> Callable[[CallResult], None]:
         def reply(result: CallResult) -> None:
             link.calls.pop(number, None)
-            link.send_soon(
+            link.send_batched(
                 RunReply(
                     number,
                     int(result.outcome),
