--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -14,13 +14,13 @@
 from itertools import count
 from random import Random
 
-from rattanfork_core.account import RepeatBudget, RepeatGrants
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
     Start,
     Waiter,
 )
+from rattanfork_core.budgets import GateRetryBudget, ServiceRetryBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import (
     CallChainThresholds,
@@ -143,10 +143,10 @@
         )
         self.calls: dict[int, tuple[Call, Callable]] = {}
         self.keys = count()
-        self.retry_grants = RepeatGrants(
+        self.retry_grants = GateRetryBudget(
             simulation.clock, RETRY_RATIO, EXTRA_RETRIES, RETRY_WINDOW
         )
-        self.retry_grants.share_among(LEAF_GATES)
+        self.retry_grants.set_gate_count(LEAF_GATES)
 
     def offer(self, call: Call, done: Callable) -> None:
         """Offer a call to admission; ``done`` receives its outcome."""
@@ -217,7 +217,7 @@
         self.entry_shedder = EarlyShedder(simulation.clock)
         self.leaf_shedder = EarlyShedder(simulation.clock)
         share = 0.75 * EXTRA_RETRIES / simulation.size
-        self.budget = RepeatBudget(
+        self.budget = ServiceRetryBudget(
             simulation.clock, 0.9 * RETRY_RATIO, share, RETRY_WINDOW
         )
         self.picker = InstancePicker(name, "dc", simulation.clock, simulation.random)
--- a/packages/rattanfork-core/rattanfork_core/request/state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rattanfork_core.account import Account
+from rattanfork_core.budgets.request_budget import RequestBudget
 from rattanfork_core.request.attempt import Attempt, AttemptState
 from rattanfork_core.request.commands import (
     Command,
@@ -41,7 +41,7 @@
     Parameters
     ==========
 
-    account : Account
+    account : RequestBudget
         Deadline and extra attempts of the request.
     idempotent : bool
         Whether the request may be run more than once.
@@ -63,7 +63,7 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> account = Account(clock, deadline=1.0, attempts=1)
+    >>> account = RequestBudget(clock, deadline=1.0, attempts=1)
     >>> machine = RequestStateMachine(account, True, lambda avoid: "w1")
     >>> machine.start()
     [SendCall(attempt=1, instance='w1', lent_attempts=1)]
@@ -74,12 +74,12 @@
     See Also
     ========
 
-    rattanfork_core.atmostonce.RunLedger : answers the fences.
+    rattanfork_core.idempotency.KeyRegistry : answers the fences.
     """
 
     def __init__(
         self,
-        account: Account,
+        account: RequestBudget,
         idempotent: bool,
         pick: InstancePicker,
         pinned: str | None = None,
@@ -120,7 +120,7 @@
             # Too late: the attempt was fenced, or the request is finished.  Its
             # unused extra attempts were written off and are not credited again.
             return []
-        self._account.take_back(attempt.lent_attempts, result.unused_attempts)
+        self._account.reclaim(attempt.lent_attempts, result.unused_attempts)
         if result.outcome is Outcome.ANSWERED:
             attempt.state = AttemptState.ANSWERED
             return self._finish(result)
@@ -231,7 +231,7 @@
         instance = self._pinned or self._pick(self._avoided)
         if instance is None:
             return self._finish(self._with_proved_outcome(if_none))
-        lent = self._account.lend()
+        lent = self._account.delegate()
         attempt = Attempt(len(self._attempts) + 1, instance, lent)
         self._attempts.append(attempt)
         return [SendCall(attempt.number, instance, lent)]
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -6,7 +6,6 @@
 from random import Random
 
 import aiohttp
-from rattanfork_core.account import RunContext
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -14,18 +13,19 @@
     Start,
     Waiter,
 )
-from rattanfork_core.atmostonce import (
+from rattanfork_core.budgets import RunContext
+from rattanfork_core.clock import Clock
+from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.hashing import hash64
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
     JoinRunning,
+    KeyRegistry,
     RefuseKey,
-    RunLedger,
     RunRecord,
     TicketError,
-    TicketMint,
+    TicketIssuer,
 )
-from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import ThresholdCache
-from rattanfork_core.hashing import hash64
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
@@ -76,7 +76,7 @@
         Source of the current time.
     instance, boot : str
         The instance and this incarnation of its guard.
-    mint : TicketMint
+    mint : TicketIssuer
         Reads keys.
     admission : AdmissionSettings
         Bounds of admission.
@@ -91,7 +91,7 @@
         clock: Clock,
         instance: str,
         boot: str,
-        mint: TicketMint,
+        mint: TicketIssuer,
         admission: AdmissionSettings,
         counters: Counters,
         random: Random,
@@ -101,7 +101,7 @@
         self._mint = mint
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
-        self._ledger = RunLedger(clock, instance, boot)
+        self._ledger = KeyRegistry(clock, instance, boot)
         self._deep_cuts = ThresholdCache(clock)
         self._counters = counters
         self._random = random
@@ -124,7 +124,7 @@
         return self._admission
 
     @property
-    def ledger(self) -> RunLedger:
+    def ledger(self) -> KeyRegistry:
         """The memory of keys."""
         return self._ledger
 
@@ -162,7 +162,7 @@
     def fence_key(self, key: str) -> FenceVerdict:
         """Refuse a key from now on, if it was not handed over."""
         try:
-            ticket = self._mint.read(key)
+            ticket = self._mint.parse(key)
         except TicketError:
             return FenceVerdict.UNKNOWN
         return self._ledger.fence(key, ticket)
@@ -187,11 +187,11 @@
 
     async def _run_keyed(self, request: GateRequest) -> CallResult:
         try:
-            ticket = self._mint.read(request.key)
+            ticket = self._mint.parse(request.key)
         except TicketError:
             return self._refusal(request, Reason.BAD_REQUEST)
         digest = hash64(f"{request.method} {request.path}") ^ hash64(request.body.hex())
-        verdict = self._ledger.arrive(request.key, ticket, request.caller, digest)
+        verdict = self._ledger.on_request(request.key, ticket, request.caller, digest)
         if isinstance(verdict, RefuseKey):
             return CallResult(verdict.outcome, verdict.reason)
         if isinstance(verdict, AlreadyAnswered):
@@ -214,7 +214,7 @@
             self._background.discard(task)
             self._joins.pop(request.key, None)
             if task.cancelled() or task.exception() is not None:
-                self._ledger.lose(record)
+                self._ledger.on_connection_lost(record)
                 result = CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
             else:
                 result = task.result()
@@ -308,7 +308,7 @@
                 )
             succeeded = True
             self._refused_in_a_row = 0
-            self._deep_cuts.update(request.operation, "", context.deep_cut)
+            self._deep_cuts.update(request.operation, "", context.downstream_threshold)
             result = answered(context, answer)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
@@ -322,7 +322,7 @@
                 self._counters.events["cancelled.children"] += stopped
             self._apply(self._admission.finish(waiter.key, succeeded))
         if record is not None and result.outcome is Outcome.ANSWERED:
-            self._ledger.answer(record, result)
+            self._ledger.store_answer(record, result)
         return result
 
     def _failed(
@@ -332,7 +332,7 @@
             # Nothing was written, or the upstream vouches that it ran
             # nothing: the hand-over did not take place.
             if record is not None:
-                self._ledger.retract(record)
+                self._ledger.cancel_hand_over(record)
             shed = isinstance(error, UpstreamShedError)
             self._refused_in_a_row += not shed
             if shed:
@@ -340,7 +340,7 @@
             reason = Reason.SHED if shed else Reason.UPSTREAM_DOWN
             return self._refusal(request, reason)
         if record is not None:
-            self._ledger.lose(record)
+            self._ledger.on_connection_lost(record)
         if isinstance(error, TimeoutError):
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         if isinstance(error, UpstreamTooLargeError):
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
@@ -1,6 +1,6 @@
 """From a caller's request to its final answer, free of HTTP."""
 
-from rattanfork_core.account.callers import CallerBook
+from rattanfork_core.budgets.caller_table import CallerTable
 
 from rattanfork_node.call_ingress.dispatcher import Dispatcher
 from rattanfork_node.call_ingress.epoch_cache import EpochCache
@@ -12,7 +12,7 @@
 from rattanfork_node.member.directory import InstanceDirectory
 
 __all__ = [
-    "CallerBook",
+    "CallerTable",
     "InstanceDirectory",
     "Dispatcher",
     "EpochCache",
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from rattanfork_core.atmostonce import ConnectionLedger
+from rattanfork_core.idempotency import ConnectionCallLog
 from rattanfork_core.request import FenceVerdict
 
 from rattanfork_node.peer.errors import FrameError
@@ -51,7 +51,7 @@
     def __init__(self, rules: RevisionState, counters: Counters) -> None:
         self._rules = rules
         self._counters = counters
-        self._ledgers: OrderedDict[str, ConnectionLedger] = OrderedDict()
+        self._ledgers: OrderedDict[str, ConnectionCallLog] = OrderedDict()
         self._links: set[PeerLink] = set()
         self._gossip_task: GossipTask | None = None
 
@@ -69,7 +69,7 @@
         if link.connection_id in self._ledgers:
             raise FrameError("the connection ID is already in use")
         self._links.add(link)
-        self._ledgers[link.connection_id] = ConnectionLedger()
+        self._ledgers[link.connection_id] = ConnectionCallLog()
         if len(self._ledgers) > _MAX_LEDGERS:
             # A fence for an evicted connection is answered "unknown", never
             # "not run".
@@ -92,7 +92,7 @@
         """Count a rejected frame."""
         self._counters.events["peer.bad-frame"] += 1
 
-    def register_request(self, link: PeerLink, number: int) -> ConnectionLedger:
+    def register_request(self, link: PeerLink, number: int) -> ConnectionCallLog:
         """Record the arrival of a request, and return its connection's ledger.
 
         Raises
@@ -102,7 +102,7 @@
             If the number was used before on this connection.
         """
         ledger = self._ledgers.get(link.connection_id)
-        if ledger is None or not ledger.arrive(number):
+        if ledger is None or not ledger.accept(number):
             raise FrameError("the request number is already in use")
         return ledger
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/served_call.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/served_call.py
@@ -4,9 +4,9 @@
 from typing import TYPE_CHECKING
 
 from rattanfork_core.admission import Start, Waiter
-from rattanfork_core.atmostonce import (
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
-    ConnectionLedger,
+    ConnectionCallLog,
     JoinRunning,
     RefuseKey,
     RunRecord,
@@ -61,11 +61,11 @@
         ledger = self.connections().setdefault(
             self.connection, simulation.components.connection()
         )
-        if not ledger.arrive(1):
+        if not ledger.accept(1):
             return
         request = self.attempt.request
         if request.ticket is not None:
-            verdict = self.serving_node.ledger.arrive(
+            verdict = self.serving_node.ledger.on_request(
                 request.key, request.ticket, request.caller, 1
             )
             if isinstance(verdict, RefuseKey):
@@ -80,7 +80,7 @@
             self.record = verdict.record
         self._request_admission()
 
-    def connections(self) -> dict[str, ConnectionLedger]:
+    def connections(self) -> dict[str, ConnectionCallLog]:
         """Return the ledger of each connection to the serving node."""
         return self.serving_node.connections
 
@@ -127,7 +127,7 @@
         delays = self.attempt.apply_faults("HAND_OVER", serving_node)
         if not serving_node.upstream_alive:
             if self.record is not None:
-                serving_node.ledger.retract(self.record)
+                serving_node.ledger.cancel_hand_over(self.record)
             self._finish(CallResult(Outcome.NOT_RUN, Reason.UPSTREAM_DOWN))
             return
         for delay in delays[:1]:
@@ -181,12 +181,12 @@
         body = f"for {request.caller} {request.request_id}".encode()
         result = CallResult(Outcome.ANSWERED, status=200, body=body)
         if self.record is not None:
-            self.serving_node.ledger.answer(self.record, result)
+            self.serving_node.ledger.store_answer(self.record, result)
         self._finish(result)
 
     def _lose_upstream(self) -> None:
         if self.record is not None:
-            self.serving_node.ledger.lose(self.record)
+            self.serving_node.ledger.on_connection_lost(self.record)
         result = CallResult(Outcome.UNKNOWN, Reason.UPSTREAM_DOWN, retry_elsewhere=True)
         self._finish(result)
 
