--- a/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/accounts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from rattanfork_core.client_accounts import AccountIndex, ClientAccount
-from rattanfork_core.trace import LogLine, read_lines
+from rattanfork_core.trace import LogLine, parse_lines
 from rattanfork_platform import PlatformDownError
 from rattanfork_platform.connect import connect_platform, read_configuration
 
@@ -28,7 +28,7 @@
     version, index = _read_accounts(platform)
     if index is None:
         raise fail(f"configuration {version} has no accounts", FAILED)
-    refused = _count_refused(read_lines(read_log_lines(files))) if files else {}
+    refused = _count_refused(parse_lines(read_log_lines(files))) if files else {}
     accounts = sorted(index.accounts.values(), key=lambda account: account.name)
     if as_json:
         entries = [_to_json(a, index, refused.get(a.name, {})) for a in accounts]
@@ -75,7 +75,14 @@
     priority = "as the route" if account.priority is None else account.priority
     rate = f"{account.rate:g}" if account.limited else "no limit"
     burst = f"{account.burst:g}" if account.limited else ""
-    return [account.name, priority, rate, burst, index.keys_of(account.name), reasons]
+    return [
+        account.name,
+        priority,
+        rate,
+        burst,
+        index.account_key_count(account.name),
+        reasons,
+    ]
 
 
 def _to_json(account: ClientAccount, index: AccountIndex, refused: Counter) -> dict:
@@ -84,6 +91,6 @@
         "priority": account.priority,
         "rate": account.rate if account.limited else None,
         "burst": account.burst if account.limited else None,
-        "keys": index.keys_of(account.name),
+        "keys": index.account_key_count(account.name),
         "refused": dict(refused),
     }
--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -8,11 +8,11 @@
 from rattanfork_core.routes import Configuration, Route
 from rattanfork_core.rules import (
     Explanation,
-    Ruling,
+    RouteDecision,
+    apply_rule,
     explain,
-    facts_of_route,
     load_rules,
-    rule_on,
+    route_facts,
 )
 from rattanfork_platform import PlatformDownError
 from rattanfork_platform.connect import connect_platform, read_configuration
@@ -52,9 +52,9 @@
     rules = load_rules(record.text, f"revision {record.revision}")
     results = []
     for share in route.services:
-        facts = facts_of_route(route, share.service, method, caller, data_centre, load)
+        facts = route_facts(route, share.service, method, caller, data_centre, load)
         explanation = explain(rules, facts)
-        results.append((share.service, explanation, rule_on(route, explanation.rule)))
+        results.append((share.service, explanation, apply_rule(route, explanation.rule)))
     if as_json:
         print_json(
             {
@@ -91,7 +91,7 @@
     configuration: Configuration,
     record: RulesRecord,
     route: Route,
-    results: list[tuple[str, Explanation, Ruling]],
+    results: list[tuple[str, Explanation, RouteDecision]],
 ) -> None:
     print(f"configuration {configuration.version}: route {route.name}")
     print(f"  {route.host}{route.prefix}, {_describe_idempotence(route)}")
@@ -110,7 +110,7 @@
     return "idempotent" if route.idempotent else "not idempotent"
 
 
-def _describe_rule(ruling: Ruling) -> str:
+def _describe_rule(ruling: RouteDecision) -> str:
     return (
         "no rule matches; the route applies"
         if ruling.rule == "-"
@@ -118,7 +118,7 @@
     )
 
 
-def _describe_effect(ruling: Ruling) -> str:
+def _describe_effect(ruling: RouteDecision) -> str:
     if ruling.refuse_after is not None:
         return f"refused with Retry-After {ruling.refuse_after:g} s"
     route = ruling.route
@@ -129,7 +129,7 @@
     )
 
 
-def _to_json(explanation: Explanation, ruling: Ruling) -> dict[str, object]:
+def _to_json(explanation: Explanation, ruling: RouteDecision) -> dict[str, object]:
     route = ruling.route
     return {
         "rule": None if ruling.rule == "-" else ruling.rule,
--- a/packages/rattanfork-node/rattanfork_node/ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -3,12 +3,12 @@
 import asyncio
 from random import Random
 
-from rattanfork_core.account import Account, RunContext
-from rattanfork_core.account.callers import CallerBook
-from rattanfork_core.atmostonce import TicketError, TicketMint
+from rattanfork_core.budgets import RequestBudget, RunContext
+from rattanfork_core.budgets.caller_table import CallerTable
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.idempotency import TicketError, TicketIssuer
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_core.request import (
     CallResult,
@@ -25,19 +25,19 @@
 from rattanfork_core.settings import RequestSettings
 from rattanfork_platform import PlatformDownError
 
-from rattanfork_node.guard import Guard
-from rattanfork_node.ingress.dispatcher import Dispatcher, Job, blocked_instances
-from rattanfork_node.ingress.incoming import Incoming
-from rattanfork_node.ingress.key_assigner import KeyAssigner
-from rattanfork_node.ingress.key_issuer import KeyIssuer
-from rattanfork_node.ingress.treatment import Treatment, treat
+from rattanfork_node.call_gate import CallGate
+from rattanfork_node.call_ingress.dispatcher import Dispatcher, Job, blocked_instances
+from rattanfork_node.call_ingress.incoming_request import IncomingRequest
+from rattanfork_node.call_ingress.key_assigner import KeyAssigner
+from rattanfork_node.call_ingress.key_issuer import KeyIssuer
+from rattanfork_node.call_ingress.request_policy import RequestPolicy, select_policy
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.telemetry import Counters
 
 _NOBODY: frozenset[str] = frozenset()
 
 
-class Ingress:
+class CallIngress:
     """Takes callers' requests and the upstream's own calls to the end.
 
     Explanation
@@ -57,9 +57,9 @@
         rules: RevisionState,
         directory: InstanceDirectory,
         dispatcher: Dispatcher,
-        guard: Guard,
+        guard: CallGate,
         hints: ThresholdCache,
-        mint: TicketMint,
+        mint: TicketIssuer,
         counters: Counters,
         burn: BurnMeter,
         key_issuer: KeyIssuer,
@@ -79,14 +79,14 @@
         self._burn = burn
         self._issuer = key_issuer
         self._assigner = key_assigner
-        self._book = CallerBook(clock)
+        self._book = CallerTable(clock)
         self._next_child = 0
 
     async def issue_keys(self, service: str, count: int) -> list[str]:
         """Return new keys for postings, each bound to one live instance."""
         return await self._issuer.issue_many(service, count)
 
-    async def serve(self, incoming: Incoming) -> CallResult:
+    async def serve(self, incoming: IncomingRequest) -> CallResult:
         """Bring a request to its final answer."""
         if incoming.context:
             return await self._serve_child(incoming)
@@ -100,8 +100,10 @@
         self._burn.add(incoming.service, importance, treatment.rule, good, took)
         return result
 
-    async def _serve_root(self, incoming: Incoming) -> tuple[CallResult, Treatment]:
-        number = self._book.arrive(incoming.request_id, incoming.caller)
+    async def _serve_root(
+        self, incoming: IncomingRequest
+    ) -> tuple[CallResult, RequestPolicy]:
+        number = self._book.count_attempt(incoming.request_id, incoming.caller)
         incoming.attempt = max(incoming.attempt, number or 1)
         picker = self._directory.picker(incoming.service)
         hint_key = f"{incoming.service}/{incoming.operation}"
@@ -109,7 +111,7 @@
         if picker is not None and len(self._hints):
             _, highest = blocked_instances(picker, self._hints, hint_key, RANK_LIMIT)
             load = 1.0 - highest / RANK_LIMIT
-        treatment = treat(
+        treatment = select_policy(
             incoming, self._rules.rules, self._data_centre, load, self._settings
         )
         rank = request_rank(treatment.importance, incoming.request_id)
@@ -121,7 +123,7 @@
         if refusal is not None:
             return await self._prove_refusal(incoming, refusal), treatment
         deadline = self._clock.now() + treatment.deadline
-        account = Account(self._clock, deadline, treatment.attempts)
+        account = RequestBudget(self._clock, deadline, treatment.attempts)
         job = Job(
             incoming,
             account,
@@ -135,7 +137,7 @@
         return await self._dispatch(job), treatment
 
     def _refuse_by_rule(
-        self, incoming: Incoming, treatment: Treatment, rank: float
+        self, incoming: IncomingRequest, treatment: RequestPolicy, rank: float
     ) -> CallResult | None:
         action = treatment.action
         if not self._rules.ready:
@@ -145,20 +147,20 @@
             return CallResult(Outcome.NOT_RUN, Reason.RULE, retry_after=after)
         if action.rate is not None:
             who = incoming.caller if action.rate_per_caller else ""
-            limit = self._book.limit(treatment.rule, who, action.rate)
+            limit = self._book.rate_limit(treatment.rule, who, action.rate)
             if not limit.take():
                 base = max(limit.delay, self._settings.retry_after)
                 after = jittered_retry_after(base, rank, self._random)
                 return CallResult(Outcome.NOT_RUN, Reason.LIMIT, retry_after=after)
-        budget = self._book.budget(f"caller:{incoming.caller}")
+        budget = self._book.retry_budget(f"caller:{incoming.caller}")
         if incoming.attempt == 1:
             budget.earn()
         elif not budget.spend():
             return self._refusal(Reason.RETRY_BUDGET, rank)
         return None
 
-    async def _serve_child(self, incoming: Incoming) -> CallResult:
-        context = self._guard.context(incoming.context)
+    async def _serve_child(self, incoming: IncomingRequest) -> CallResult:
+        context = self._guard.find_context(incoming.context)
         if context is None or context.ended:
             # The run it belongs to is over: nobody would see the answer.
             self._counters.events["child.orphaned"] += 1
@@ -169,8 +171,8 @@
         deadline = context.account.deadline
         if incoming.timeout is not None:
             deadline = min(deadline, self._clock.now() + incoming.timeout)
-        lent = context.account.lend()
-        account = Account(self._clock, deadline, lent)
+        lent = context.account.delegate()
+        account = RequestBudget(self._clock, deadline, lent)
         job = Job(
             incoming,
             account,
@@ -183,12 +185,12 @@
         self._next_child += 1
         number = self._next_child
         task = asyncio.current_task()
-        context.cancels[number] = task.cancel
+        context.cancel_callbacks[number] = task.cancel
         try:
             result = await self._dispatch(job)
         finally:
-            context.cancels.pop(number, None)
-        context.account.take_back(lent, account.attempts)
+            context.cancel_callbacks.pop(number, None)
+        context.account.reclaim(lent, account.attempts)
         self._pass_up(context, job, result)
         return result
 
@@ -196,10 +198,10 @@
         picker = self._directory.picker(job.incoming.service)
         if picker is not None:
             _, highest = blocked_instances(picker, self._hints, job.hint_key, job.rank)
-            context.hear_cut(highest)
+            context.on_threshold(highest)
         if result.outcome is not Outcome.ANSWERED or result.retry_after:
-            context.refused_retry_after = max(
-                context.refused_retry_after, result.retry_after
+            context.downstream_retry_after = max(
+                context.downstream_retry_after, result.retry_after
             )
 
     async def _dispatch(self, job: Job) -> CallResult:
@@ -223,7 +225,7 @@
                 if probed is None:
                     return self._refusal(Reason.SHED_EARLY, job.rank)
                 blocked = blocked - {probed}
-        budget = self._book.budget(f"target:{incoming.service}")
+        budget = self._book.retry_budget(f"target:{incoming.service}")
         budget.earn()
 
         def pick(avoid: frozenset[str]) -> str | None:
@@ -268,14 +270,16 @@
                 break
         return self._finish(job, result)
 
-    async def _ticket(self, incoming: Incoming, rank: float) -> str | CallResult:
+    async def _ticket(self, incoming: IncomingRequest, rank: float) -> str | CallResult:
         try:
-            self._mint.read(incoming.key)
+            self._mint.parse(incoming.key)
         except TicketError:
             return await self._assigned(incoming, rank)
         return incoming.key
 
-    async def _assigned(self, incoming: Incoming, rank: float) -> str | CallResult:
+    async def _assigned(
+        self, incoming: IncomingRequest, rank: float
+    ) -> str | CallResult:
         if self._assigner is None:
             return CallResult(Outcome.NOT_RUN, Reason.BAD_REQUEST)
         member = self._pick_member(incoming.service, _NOBODY)
@@ -299,7 +303,7 @@
             return result
 
     async def _run_ticket(self, job: Job) -> CallResult:
-        ticket = self._mint.read(job.key)
+        ticket = self._mint.parse(job.key)
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
@@ -308,13 +312,13 @@
         return self._finish(job, result)
 
     async def _prove_refusal(
-        self, incoming: Incoming, result: CallResult
+        self, incoming: IncomingRequest, result: CallResult
     ) -> CallResult:
         """Turn a refusal here into one that holds for the key as well."""
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
             return result
         try:
-            ticket = self._mint.read(incoming.key)
+            ticket = self._mint.parse(incoming.key)
         except TicketError:
             result.outcome = Outcome.UNKNOWN
             return result
--- a/packages/rattanfork-node/rattanfork_node/ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import TicketMint
+from rattanfork_core.idempotency import TicketIssuer
 from rattanfork_core.membership import Member
 
-from rattanfork_node.guard import Guard
-from rattanfork_node.ingress.epochs import EpochBook
+from rattanfork_node.call_gate import CallGate
+from rattanfork_node.call_ingress.epoch_cache import EpochCache
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, PeerPool
 
@@ -19,28 +19,28 @@
     Parameters
     ==========
 
-    mint : TicketMint
+    mint : TicketIssuer
         Makes the keys.
     directory : InstanceDirectory
         Who serves what.
     pool : PeerPool
         Connections to other nodes.
-    guard : Guard
+    guard : CallGate
         This node's own guard.
     me : str
         This node's member name.
-    epochs : EpochBook
+    epochs : EpochCache
         What was heard of other guards' epochs.
     """
 
     def __init__(
         self,
-        mint: TicketMint,
+        mint: TicketIssuer,
         directory: InstanceDirectory,
         pool: PeerPool,
-        guard: Guard,
+        guard: CallGate,
         me: str,
-        epochs: EpochBook,
+        epochs: EpochCache,
     ) -> None:
         self._mint = mint
         self._directory = directory
@@ -85,7 +85,7 @@
                 epoch = await self._pool.ask_epoch(address)
         except (LinkLostError, TimeoutError):
             return None
-        self._epochs.hear(member.name, epoch)
+        self._epochs.update(member.name, epoch)
         return epoch
 
     def _make(self, member: Member, epoch: int) -> str:
--- a/packages/rattanfork-node/rattanfork_node/peer/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/__init__.py
@@ -1,8 +1,12 @@
-"""Streams between nodes."""
+"""Connections between nodes: framing, handshake, requests and replies.
 
+Both request paths use them: ``Call`` carries a request of the call path (packages
+edge, call_ingress and call_gate), ``Run`` one of the route path (package relay).
+"""
+
+from rattanfork_node.peer.base_handler import BasePeerHandler
 from rattanfork_node.peer.errors import FrameError, LinkLostError
 from rattanfork_node.peer.handler import PeerHandler
-from rattanfork_node.peer.ledgered import LedgeredPeerHandler
 from rattanfork_node.peer.link import PeerLink
 from rattanfork_node.peer.messages import (
     BurnReply,
@@ -49,7 +53,7 @@
     "FenceReply",
     "FrameError",
     "Hello",
-    "LedgeredPeerHandler",
+    "BasePeerHandler",
     "LinkLostError",
     "PeerHandler",
     "PeerLink",
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -5,7 +5,7 @@
 from itertools import product
 
 import pytest
-from rattanfork_core.account import RepeatGrants
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.request import FenceVerdict, Outcome, Reason
 
 from rattanfork_node.relay.tests.fakes import FakeLink, RelayHarness, on_loop
@@ -69,7 +69,7 @@
     """The gates of the service: count arrivals and charge their retry budget."""
 
     def __init__(self, harness: RelayHarness) -> None:
-        self.grants = RepeatGrants(harness.clock, ratio=0.2, extra=48, window=10)
+        self.grants = GateRetryBudget(harness.clock, ratio=0.2, extra=48, window=10)
         self.granted = 0
 
     def take(self, link: FakeLink, index: int) -> bool:
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account import Account
 from rattanfork_core.admission import AdmissionController
-from rattanfork_core.atmostonce import ConnectionLedger, RunLedger
-from rattanfork_core.atmostonce.record import RunState
+from rattanfork_core.budgets import RequestBudget
+from rattanfork_core.idempotency import ConnectionCallLog, KeyRegistry
+from rattanfork_core.idempotency.record import RunState
 from rattanfork_core.request import FenceVerdict, RequestStateMachine
 
 from rattanfork_testkit.matrix.simulation import Components
 
 
-class _RunsDuplicates(RunLedger):
+class _RunsDuplicates(KeyRegistry):
     """Runs a key again for each copy of its request."""
 
     def hand_over(self, record):
@@ -21,17 +21,17 @@
         records = self._records(ticket)
         if records is not None:
             records.pop(key, None)
-        return super().arrive(key, ticket, caller, digest)
+        return super().on_request(key, ticket, caller, digest)
 
 
-class _AcceptsAnyIncarnation(RunLedger):
+class _AcceptsAnyIncarnation(KeyRegistry):
     """Accepts keys issued by other incarnations of the node."""
 
     def _records(self, ticket):
         return self._epochs[self._epoch]
 
 
-class _ForgetsKeyFence(RunLedger):
+class _ForgetsKeyFence(KeyRegistry):
     """Answers "not run" to a fence without recording the fence."""
 
     def fence(self, key, ticket):
@@ -43,7 +43,7 @@
         return verdict
 
 
-class _KeepsRefusedKeyOpen(RunLedger):
+class _KeepsRefusedKeyOpen(KeyRegistry):
     """Refuses a request without closing its key, so that a late copy still runs."""
 
     def refuse(self, record):
@@ -52,7 +52,7 @@
         return True
 
 
-class _IgnoresConnectionFence(ConnectionLedger):
+class _IgnoresConnectionFence(ConnectionCallLog):
     """Runs calls of a connection that was fenced."""
 
     def hand_over(self, number):
@@ -71,7 +71,7 @@
         return self.on_fence_verdict(number, FenceVerdict.NOT_RUN)
 
 
-class _UnlimitedRetries(Account):
+class _UnlimitedRetries(RequestBudget):
     """Grants every attempt, regardless of the budget."""
 
     def spend(self):
