--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
@@ -17,7 +17,7 @@
     def hand_over(self, record):
         return record.state is not RunState.FENCED
 
-    def arrive(self, key, ticket, caller, digest):
+    def on_request(self, key, ticket, caller, digest):
         records = self._records(ticket)
         if records is not None:
             records.pop(key, None)
@@ -56,7 +56,7 @@
     """Runs calls of a connection that was fenced."""
 
     def hand_over(self, number):
-        self._handed[number] = None
+        self._handed_over[number] = None
         return True
 
 
