--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -54,7 +54,9 @@
     for share in route.services:
         facts = route_facts(route, share.service, method, caller, data_centre, load)
         explanation = explain(rules, facts)
-        results.append((share.service, explanation, apply_rule(route, explanation.rule)))
+        results.append(
+            (share.service, explanation, apply_rule(route, explanation.rule))
+        )
     if as_json:
         print_json(
             {
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/attempt.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/attempt.py
@@ -58,12 +58,12 @@
             return
         simulation, request = self.simulation, self.request
         deadline = simulation.clock.now() + DEADLINE_S
-        account = simulation.components.account(simulation.clock, deadline, RETRY_GRANT)
+        budget = simulation.components.account(simulation.clock, deadline, RETRY_GRANT)
         pinned = None
         if request.ticket is not None:
             pinned = f"{request.ticket.instance}@{request.ticket.boot}"
         self.machine = simulation.components.machine(
-            account, request.idempotent, self._pick_serving_node, pinned
+            budget, request.idempotent, self._pick_serving_node, pinned
         )
         simulation.schedule(DEADLINE_S, lambda: self._handle(self.machine.on_deadline))
         self._handle(self.machine.start)
@@ -132,15 +132,15 @@
                 and simulation.clock.now() >= serving_node.paused_until
             ):
                 if self.request.key:
-                    verdict = serving_node.ledger.fence(
+                    verdict = serving_node.key_registry.fence(
                         self.request.key, self.request.ticket
                     )
                 else:
                     name = self.connection[command.attempt]
-                    ledger = serving_node.connections.setdefault(
-                        name, simulation.components.connection()
+                    call_log = serving_node.connections.setdefault(
+                        name, simulation.components.call_log()
                     )
-                    [verdict] = ledger.fence([1])
+                    [verdict] = call_log.fence([1])
             self._handle(self.machine.on_fence_verdict, command.attempt, verdict)
 
         simulation.schedule(0.01, request_fence)
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/mutants.py
@@ -99,19 +99,25 @@
 
 
 MUTANTS = (
-    Mutant("duplicates of a key run", Components(ledger=_RunsDuplicates), "ran twice"),
+    Mutant(
+        "duplicates of a key run", Components(key_registry=_RunsDuplicates), "ran twice"
+    ),
     Mutant(
         "any incarnation runs a key",
-        Components(ledger=_AcceptsAnyIncarnation),
+        Components(key_registry=_AcceptsAnyIncarnation),
         "ran twice",
     ),
     Mutant(
-        "fence of a key is not recorded", Components(ledger=_ForgetsKeyFence), "not run"
+        "fence of a key is not recorded",
+        Components(key_registry=_ForgetsKeyFence),
+        "not run",
+    ),
+    Mutant(
+        "refused key stays open", Components(key_registry=_KeepsRefusedKeyOpen), "run"
     ),
-    Mutant("refused key stays open", Components(ledger=_KeepsRefusedKeyOpen), "run"),
     Mutant(
         "fence of a connection is ignored",
-        Components(connection=_IgnoresConnectionFence),
+        Components(call_log=_IgnoresConnectionFence),
         "run",
     ),
     Mutant(
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/served_call.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/served_call.py
@@ -58,14 +58,14 @@
             simulation.schedule(wait, self.begin)
             self._report_connection_loss(0.6)
             return
-        ledger = self.connections().setdefault(
-            self.connection, simulation.components.connection()
+        call_log = self.connections().setdefault(
+            self.connection, simulation.components.call_log()
         )
-        if not ledger.accept(1):
+        if not call_log.accept(1):
             return
         request = self.attempt.request
         if request.ticket is not None:
-            verdict = self.serving_node.ledger.on_request(
+            verdict = self.serving_node.key_registry.on_request(
                 request.key, request.ticket, request.caller, 1
             )
             if isinstance(verdict, RefuseKey):
@@ -81,7 +81,7 @@
         self._request_admission()
 
     def connections(self) -> dict[str, ConnectionCallLog]:
-        """Return the ledger of each connection to the serving node."""
+        """Return the call log of each connection to the serving node."""
         return self.serving_node.connections
 
     def _request_admission(self) -> None:
@@ -114,12 +114,12 @@
         if not serving_node.alive:
             self._report_connection_loss(0.1)
             return
-        ledger = self.connections().setdefault(
-            self.connection, simulation.components.connection()
+        call_log = self.connections().setdefault(
+            self.connection, simulation.components.call_log()
         )
-        allowed = ledger.hand_over(1)
+        allowed = call_log.hand_over(1)
         if allowed and self.record is not None:
-            allowed = serving_node.ledger.hand_over(self.record)
+            allowed = serving_node.key_registry.hand_over(self.record)
         if not allowed:
             self._refuse(Reason.FENCED)
             return
@@ -127,7 +127,7 @@
         delays = self.attempt.apply_faults("HAND_OVER", serving_node)
         if not serving_node.upstream_alive:
             if self.record is not None:
-                serving_node.ledger.cancel_hand_over(self.record)
+                serving_node.key_registry.cancel_hand_over(self.record)
             self._finish(CallResult(Outcome.NOT_RUN, Reason.UPSTREAM_DOWN))
             return
         for delay in delays[:1]:
@@ -181,12 +181,12 @@
         body = f"for {request.caller} {request.request_id}".encode()
         result = CallResult(Outcome.ANSWERED, status=200, body=body)
         if self.record is not None:
-            self.serving_node.ledger.store_answer(self.record, result)
+            self.serving_node.key_registry.store_answer(self.record, result)
         self._finish(result)
 
     def _lose_upstream(self) -> None:
         if self.record is not None:
-            self.serving_node.ledger.on_connection_lost(self.record)
+            self.serving_node.key_registry.on_connection_lost(self.record)
         result = CallResult(Outcome.UNKNOWN, Reason.UPSTREAM_DOWN, retry_elsewhere=True)
         self._finish(result)
 
@@ -196,7 +196,9 @@
 
     def _refuse(self, reason: Reason) -> None:
         outcome = Outcome.NOT_RUN
-        if self.record is not None and not self.serving_node.ledger.refuse(self.record):
+        if self.record is not None and not self.serving_node.key_registry.refuse(
+            self.record
+        ):
             outcome = Outcome.UNKNOWN
         self._reply(CallResult(outcome, reason, retry_elsewhere=True))
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/simulation.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/simulation.py
@@ -38,11 +38,13 @@
 class Components:
     """Classes that the simulated nodes are built from; a mutant replaces one."""
 
-    ledger: type[KeyRegistry] = KeyRegistry
-    connection: type[ConnectionCallLog] = ConnectionCallLog
+    key_registry: type[KeyRegistry] = KeyRegistry
+    call_log: type[ConnectionCallLog] = ConnectionCallLog
     machine: type[RequestStateMachine] = RequestStateMachine
+    #: Budget of attempts of one request.
     account: type[RequestBudget] = RequestBudget
     admission: type[AdmissionController] = AdmissionController
+    #: Whether a reply is matched to its call also by connection, not just by number.
     matches_connection: bool = True
 
 
@@ -62,9 +64,9 @@
     overloaded_until: float = 0.0
 
     def __post_init__(self) -> None:
-        """Create the run ledger and the admission controller."""
+        """Create the key registry and the admission controller."""
         simulation = self.simulation
-        self.ledger = simulation.components.ledger(
+        self.key_registry = simulation.components.key_registry(
             simulation.clock, self.name, f"b{self.boot}"
         )
         settings = AdmissionSettings(slots=4, warmup=0.0)
@@ -160,7 +162,11 @@
         serving_node = self.serving_nodes[name]
         nonce = self.random.getrandbits(40)
         ticket = Ticket(
-            "claims", name, f"b{serving_node.boot}", serving_node.ledger.epoch, nonce
+            "claims",
+            name,
+            f"b{serving_node.boot}",
+            serving_node.key_registry.epoch,
+            nonce,
         )
         return f"key-{nonce}", ticket
 
