--- a/packages/rattanfork-node/rattanfork_node/call_gate/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/__init__.py
@@ -1,21 +1,30 @@
-"""The guard: the only part that hands requests to the upstream."""
+"""Call path, last stage: admission gate and client of this node's upstream.
+
+The call path serves the project's own interface: HTTP requests for
+``/SERVICE/OPERATION`` with ``Rattanfork-`` headers.  A request goes through the
+packages :mod:`~rattanfork_node.edge` (HTTP server),
+:mod:`~rattanfork_node.call_ingress` (rules, choice of the instance, retries) and
+this one, the last two connected by :mod:`~rattanfork_node.peer` if the instance
+is at another node.  Requests by route take the other path, package
+:mod:`~rattanfork_node.relay`, with its own admission gate.
+"""
 
 from rattanfork_node.call_gate.gate import CallGate
 from rattanfork_node.call_gate.request import GateRequest
 from rattanfork_node.call_gate.upstream_client import (
-    UpstreamAnswer,
+    ResponseTooLargeError,
     UpstreamClient,
-    UpstreamRefusedError,
+    UpstreamConnectError,
+    UpstreamResponse,
     UpstreamShedError,
-    UpstreamTooLargeError,
 )
 
 __all__ = [
     "CallGate",
     "GateRequest",
-    "UpstreamAnswer",
+    "UpstreamResponse",
     "UpstreamClient",
-    "UpstreamRefusedError",
+    "UpstreamConnectError",
     "UpstreamShedError",
-    "UpstreamTooLargeError",
+    "ResponseTooLargeError",
 ]
--- a/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
@@ -1,4 +1,4 @@
-"""What the guard and the upstream tell each other."""
+"""Call path: run contexts, request headers and results of upstream requests."""
 
 import os
 
@@ -8,18 +8,19 @@
 from rattanfork_core.request.importance import RANK_LIMIT
 
 from rattanfork_node.call_gate.request import GateRequest
-from rattanfork_node.call_gate.upstream_client import UpstreamAnswer
+from rattanfork_node.call_gate.upstream_client import UpstreamResponse
 
-_TOKEN_BYTES = 9
+_CONTEXT_TOKEN_BYTES = 9
 
 
 def new_context(clock: Clock, request: GateRequest) -> RunContext:
-    """Return what the child calls of a run inherit.
+    """Return the context that the child calls of a run inherit.
 
-    The token is random: who has not been given it can't spend the account.
+    The upstream names the run by the token in its child calls.  The token is
+    random, so nobody else can spend the retries of the run's account.
     """
     return RunContext(
-        os.urandom(_TOKEN_BYTES).hex(),
+        os.urandom(_CONTEXT_TOKEN_BYTES).hex(),
         request.request_id,
         request.caller,
         request.importance,
@@ -32,7 +33,7 @@
 def upstream_headers(
     request: GateRequest, context: RunContext, time_left: float
 ) -> list[tuple[str, str]]:
-    """Return the headers the upstream gets; ``time_left`` is in seconds."""
+    """Return the headers sent to the upstream; ``time_left`` is in seconds."""
     return [
         *((name, value) for name, value in request.headers),
         ("Rattanfork-Context", context.token),
@@ -43,8 +44,8 @@
     ]
 
 
-def answered(context: RunContext, answer: UpstreamAnswer) -> CallResult:
-    """Return the result of a run that the upstream answered."""
+def answered_result(context: RunContext, answer: UpstreamResponse) -> CallResult:
+    """Return the result of a run for which the upstream sent a response."""
     return CallResult(
         Outcome.ANSWERED,
         Reason.NONE,
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -1,4 +1,4 @@
-"""The guard of one upstream instance."""
+"""Call path: admission gate of this node's upstream."""
 
 import asyncio
 from collections.abc import Iterable
@@ -35,20 +35,20 @@
 )
 
 from rattanfork_node.call_gate.exchange import (
-    answered,
+    answered_result,
     new_context,
     upstream_headers,
 )
 from rattanfork_node.call_gate.request import GateRequest
 from rattanfork_node.call_gate.upstream_client import (
+    ResponseTooLargeError,
     UpstreamClient,
-    UpstreamRefusedError,
+    UpstreamConnectError,
     UpstreamShedError,
-    UpstreamTooLargeError,
 )
 from rattanfork_node.telemetry import Counters
 
-_ELSEWHERE = frozenset(
+_RETRY_ELSEWHERE_REASONS = frozenset(
     (
         Reason.LEAVING,
         Reason.STALE_INSTANCE,
@@ -60,14 +60,18 @@
 
 
 class CallGate:
-    """Stands directly in front of the upstream instance.
+    """Admission gate of the call path, in front of this node's upstream.
 
     Explanation
     ===========
 
-    Nothing else hands requests to the upstream, so the guard alone can say
-    truthfully that a request was not run.  It admits, queues, runs at most
-    once, cancels and drains; the decisions are made in the core.
+    All requests of the call path to the upstream pass this gate, so it is the
+    only component that can prove that a request was not run.  It queues and
+    sheds requests, runs a request with an idempotency key at most once, cancels
+    runs and drains.  The decisions are those of the core's
+    :class:`AdmissionController` and :class:`RunLedger`.
+
+    The route path has its own gate, :class:`rattanfork_node.relay.Gate`.
 
     Parameters
     ==========
@@ -75,15 +79,15 @@
     clock : Clock
         Source of the current time.
     instance, boot : str
-        The instance and this incarnation of its guard.
+        Name of the instance, and ID of this incarnation of its gate.
     mint : TicketMint
-        Reads keys.
+        Decodes idempotency keys.
     admission : AdmissionSettings
-        Bounds of admission.
+        Bounds of the queue and of the concurrency limit.
     counters : Counters
-        What happened.
+        Counts results and cancellations.
     random : Random
-        Source of the spread of Retry-After.
+        Source of the jitter of ``Retry-After``.
     """
 
     def __init__(
@@ -98,80 +102,83 @@
     ) -> None:
         self._clock = clock
         self._boot = boot
-        self._mint = mint
+        self._ticket_mint = mint
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
         self._ledger = RunLedger(clock, instance, boot)
-        self._deep_cuts = ThresholdCache(clock)
+        self._downstream_thresholds = ThresholdCache(clock)
         self._counters = counters
         self._random = random
         self._upstream: UpstreamClient | None = None
-        self._starts: dict[int, asyncio.Future[Reason]] = {}
-        self._joins: dict[str, asyncio.Future[CallResult]] = {}
+        self._admission_futures: dict[int, asyncio.Future[Reason]] = {}
+        self._result_futures: dict[str, asyncio.Future[CallResult]] = {}
         self._contexts: dict[str, RunContext] = {}
-        self._background: set[asyncio.Task] = set()
-        self._next_key = 0
-        self._refused_in_a_row = 0
+        self._keyed_tasks: set[asyncio.Task] = set()
+        self._last_waiter_key = 0
+        self._consecutive_refusals = 0
 
     @property
     def consecutive_refusals(self) -> int:
-        """Connections that the upstream refused since it last took one."""
-        return self._refused_in_a_row
+        """Connections refused since the upstream was attached or last responded."""
+        return self._consecutive_refusals
 
     @property
     def admission(self) -> AdmissionController:
-        """The admission decisions."""
+        """The admission controller."""
         return self._admission
 
     @property
     def ledger(self) -> RunLedger:
-        """The memory of keys."""
+        """The ledger of idempotency keys."""
         return self._ledger
 
     @property
     def outstanding(self) -> int:
-        """Requests waiting or running."""
+        """Number of queued and running requests."""
         return self._admission.running + self._admission.waiting
 
     @property
     def has_upstream(self) -> bool:
-        """Whether there is an upstream."""
+        """Whether an upstream is attached."""
         return self._upstream is not None
 
     def attach(self, upstream: UpstreamClient | None) -> None:
-        """Take an upstream that announced itself, or None when it is gone."""
+        """Set the upstream that announced itself, or None if it has gone away."""
         self._upstream = upstream
-        self._refused_in_a_row = 0
+        self._consecutive_refusals = 0
 
     def find_context(self, token: str) -> RunContext | None:
-        """Return the run that a child call belongs to."""
+        """Return the context of the run that a token names, or None if it ended."""
         return self._contexts.get(token)
 
     def threshold(self, operation: str) -> float:
-        """Return the threshold to announce: the guard's or a deeper one."""
-        return min(self._admission.threshold, self._deep_cuts.threshold(operation, ""))
+        """Return the lower of this gate's and the downstream shedding threshold."""
+        return min(
+            self._admission.threshold,
+            self._downstream_thresholds.threshold(operation, ""),
+        )
 
     def drain(self) -> None:
-        """Take no new work."""
-        self._apply(self._admission.drain())
+        """Refuse new requests, and those that are queued."""
+        self._apply_decisions(self._admission.drain())
 
     def tick(self) -> None:
-        """Carry admission on."""
-        self._apply(self._admission.tick())
+        """Run the periodic work of the admission controller."""
+        self._apply_decisions(self._admission.tick())
 
     def fence_key(self, key: str) -> FenceVerdict:
-        """Refuse a key from now on, if it was not handed over."""
+        """Fence a key: if it was not handed over, it never will be."""
         try:
-            ticket = self._mint.read(key)
+            ticket = self._ticket_mint.read(key)
         except TicketError:
             return FenceVerdict.UNKNOWN
         return self._ledger.fence(key, ticket)
 
     async def run(self, request: GateRequest) -> CallResult:
-        """Run a request, and return its answer or why there is none."""
+        """Run a request; return its response or the reason why there is none."""
         if request.key:
-            # What is said of a key is said of all its copies, so nothing is
-            # refused here before the ledger has been asked.
+            # A result holds for all requests with the key, so the ledger must
+            # be consulted before any refusal.
             result = await self._run_keyed(request)
         elif request.boot != self._boot:
             result = self._refusal(request, Reason.STALE_INSTANCE)
@@ -181,13 +188,13 @@
         return result
 
     async def wait_idle(self) -> None:
-        """Wait until nothing waits or runs."""
-        while self.outstanding or self._background:
+        """Wait until no request is queued or running."""
+        while self.outstanding or self._keyed_tasks:
             await asyncio.sleep(0.02)
 
     async def _run_keyed(self, request: GateRequest) -> CallResult:
         try:
-            ticket = self._mint.read(request.key)
+            ticket = self._ticket_mint.read(request.key)
         except TicketError:
             return self._refusal(request, Reason.BAD_REQUEST)
         digest = hash64(f"{request.method} {request.path}") ^ hash64(request.body.hex())
@@ -199,20 +206,20 @@
             return replace(verdict.result, unused_attempts=request.attempts)
         if isinstance(verdict, JoinRunning):
             self._counters.events["key.joined"] += 1
-            return await self._join(request)
+            return await self._await_running(request)
         return await self._run_new_key(request, verdict.record)
 
     async def _run_new_key(self, request: GateRequest, record: RunRecord) -> CallResult:
-        # A run under a key goes on when its caller leaves, for the answer is
-        # kept for the caller's next attempt.
+        # A run with a key continues if its caller disconnects, because the
+        # response is kept for the caller's next attempt.
         future = asyncio.get_running_loop().create_future()
-        self._joins[request.key] = future
+        self._result_futures[request.key] = future
         task = asyncio.ensure_future(self._admit_and_run(request, record))
-        self._background.add(task)
+        self._keyed_tasks.add(task)
 
-        def done(task: asyncio.Task) -> None:
-            self._background.discard(task)
-            self._joins.pop(request.key, None)
+        def on_done(task: asyncio.Task) -> None:
+            self._keyed_tasks.discard(task)
+            self._result_futures.pop(request.key, None)
             if task.cancelled() or task.exception() is not None:
                 self._ledger.lose(record)
                 result = CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
@@ -221,7 +228,7 @@
             if not future.done():
                 future.set_result(result)
 
-        task.add_done_callback(done)
+        task.add_done_callback(on_done)
         try:
             return await asyncio.shield(future)
         except asyncio.CancelledError:
@@ -229,8 +236,8 @@
                 task.cancel()
             raise
 
-    async def _join(self, request: GateRequest) -> CallResult:
-        future = self._joins.get(request.key)
+    async def _await_running(self, request: GateRequest) -> CallResult:
+        future = self._result_futures.get(request.key)
         if future is None:
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         try:
@@ -244,11 +251,11 @@
     ) -> CallResult:
         if self._upstream is None:
             return self._refusal(request, Reason.NO_INSTANCE, record)
-        if request.rank >= self._deep_cuts.threshold(request.operation, ""):
+        if request.rank >= self._downstream_thresholds.threshold(request.operation, ""):
             return self._refusal(request, Reason.SHED_EARLY, record)
-        self._next_key += 1
+        self._last_waiter_key += 1
         waiter = Waiter(
-            self._next_key,
+            self._last_waiter_key,
             request.rank,
             request.operation,
             request.deadline,
@@ -258,14 +265,14 @@
         if reason is not Reason.NONE:
             return self._refusal(request, reason, record)
         if self._upstream is None:
-            # It went away while this waited.
-            self._apply(self._admission.finish(waiter.key, succeeded=False))
+            # The upstream went away while the request was queued.
+            self._apply_decisions(self._admission.finish(waiter.key, succeeded=False))
             return self._refusal(request, Reason.NO_INSTANCE, record)
         allowed = request.may_hand_over()
         if allowed and record is not None:
             allowed = self._ledger.hand_over(record)
         if not allowed:
-            self._apply(self._admission.finish(waiter.key, succeeded=False))
+            self._apply_decisions(self._admission.finish(waiter.key, succeeded=False))
             return self._refusal(request, Reason.FENCED, record)
         return await self._hand_over(request, waiter, record)
 
@@ -277,18 +284,20 @@
                     return Reason.NONE
                 return decision.reason
         future = asyncio.get_running_loop().create_future()
-        self._starts[waiter.key] = future
-        self._apply(decisions)
+        self._admission_futures[waiter.key] = future
+        self._apply_decisions(decisions)
         try:
             return await future
         except asyncio.CancelledError:
             if not self._admission.withdraw(waiter):
-                # Started in the same turn of the loop: give the slot back.
-                self._apply(self._admission.finish(waiter.key, succeeded=False))
+                # Started in the same event loop iteration: release the slot.
+                self._apply_decisions(
+                    self._admission.finish(waiter.key, succeeded=False)
+                )
             self._counters.events["cancelled.waiting"] += 1
             raise
         finally:
-            self._starts.pop(waiter.key, None)
+            self._admission_futures.pop(waiter.key, None)
 
     async def _hand_over(
         self, request: GateRequest, waiter: Waiter, record: RunRecord | None
@@ -300,41 +309,42 @@
             time_left = request.deadline - self._clock.now()
             headers = upstream_headers(request, context, time_left)
             if record is not None:
-                # What a posting's late answer says is still worth keeping.
+                # Wait at least 30 s, even past the deadline: the response to a
+                # request with a key is kept for the caller's next attempt.
                 time_left = max(time_left, 30.0)
             async with asyncio.timeout(time_left):
                 answer = await self._upstream.run(
                     request.method, request.path, headers, request.body
                 )
             succeeded = True
-            self._refused_in_a_row = 0
-            self._deep_cuts.update(request.operation, "", context.deep_cut)
-            result = answered(context, answer)
+            self._consecutive_refusals = 0
+            self._downstream_thresholds.update(request.operation, "", context.deep_cut)
+            result = answered_result(context, answer)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
             raise
         except Exception as error:
-            result = self._failed(request, record, error)
+            result = self._failure_result(request, record, error)
         finally:
             del self._contexts[context.token]
-            stopped = context.end()
-            if stopped:
-                self._counters.events["cancelled.children"] += stopped
-            self._apply(self._admission.finish(waiter.key, succeeded))
+            cancelled = context.end()
+            if cancelled:
+                self._counters.events["cancelled.children"] += cancelled
+            self._apply_decisions(self._admission.finish(waiter.key, succeeded))
         if record is not None and result.outcome is Outcome.ANSWERED:
             self._ledger.answer(record, result)
         return result
 
-    def _failed(
+    def _failure_result(
         self, request: GateRequest, record: RunRecord | None, error: Exception
     ) -> CallResult:
-        if isinstance(error, UpstreamRefusedError | UpstreamShedError):
-            # Nothing was written, or the upstream vouches that it ran
-            # nothing: the hand-over did not take place.
+        if isinstance(error, UpstreamConnectError | UpstreamShedError):
+            # Nothing was sent, or the upstream reports that it did not run the
+            # request, so the request counts as not handed over.
             if record is not None:
                 self._ledger.retract(record)
             shed = isinstance(error, UpstreamShedError)
-            self._refused_in_a_row += not shed
+            self._consecutive_refusals += not shed
             if shed:
                 self._admission.on_upstream_shed()
             reason = Reason.SHED if shed else Reason.UPSTREAM_DOWN
@@ -343,7 +353,7 @@
             self._ledger.lose(record)
         if isinstance(error, TimeoutError):
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
-        if isinstance(error, UpstreamTooLargeError):
+        if isinstance(error, ResponseTooLargeError):
             return CallResult(Outcome.UNKNOWN, Reason.TOO_LARGE)
         if isinstance(error, aiohttp.ClientError | OSError):
             return CallResult(
@@ -364,18 +374,18 @@
             Outcome.NOT_RUN,
             reason,
             unused_attempts=request.attempts,
-            retry_elsewhere=reason in _ELSEWHERE,
+            retry_elsewhere=reason in _RETRY_ELSEWHERE_REASONS,
             retry_after=jittered_retry_after(base, request.rank, self._random),
         )
 
-    def _apply(self, decisions: Iterable[Decision]) -> None:
+    def _apply_decisions(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            future = self._starts.get(decision.waiter.key)
+            future = self._admission_futures.get(decision.waiter.key)
             started = isinstance(decision, Start)
             if future is not None and not future.done():
                 future.set_result(Reason.NONE if started else decision.reason)
             elif started:
-                # Its caller left in this turn of the loop.
-                self._apply(
+                # The caller disconnected in this event loop iteration.
+                self._apply_decisions(
                     self._admission.finish(decision.waiter.key, succeeded=False)
                 )
--- a/packages/rattanfork-node/rattanfork_node/call_gate/request.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/request.py
@@ -1,4 +1,4 @@
-"""A request as it reaches the guard."""
+"""Call path: a request as submitted to the call gate."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,17 +8,24 @@
 
 @dataclass(slots=True, eq=False)
 class GateRequest:
-    """A request as it reaches the guard.
+    """A request submitted to the call gate.
 
     Parameters
     ==========
 
     boot : str
-        The incarnation of the guard that the sender means.
+        Incarnation of the call gate that the request is meant for.
+    rank : float
+        Place in the order of shedding; higher ranks are shed first.
     deadline : float
-        Time by which the answer must be out, in seconds of the clock.
+        Time on the clock, in seconds, by which the response must be sent.
+    attempts : int
+        Retries granted to the child calls of the run.
+    key : str
+        Idempotency key, or "".
     may_hand_over : callable
-        Asked last before the request is written; False forbids it.
+        Called just before the request is sent to the upstream; returns False if
+        the request has been fenced.
     """
 
     boot: str
--- a/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
@@ -1,4 +1,8 @@
-"""The guard when its upstream goes away under a request that waits."""
+"""The call gate when its upstream goes away while a request is queued.
+
+The queued request is admitted when a slot becomes free, but there is no upstream
+to send it to.  It must be reported as not run at once, and its slot released.
+"""
 
 import asyncio
 from random import Random
@@ -8,21 +12,21 @@
 from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.clock import MonotonicClock
 from rattanfork_core.request import Importance, Outcome, Reason
-from rattanfork_node.call_gate import CallGate, GateRequest, UpstreamAnswer
+from rattanfork_node.call_gate import CallGate, GateRequest, UpstreamResponse
 from rattanfork_node.telemetry import Counters
 
 
-class Upstream:
-    """Answers when it is told to."""
+class BlockingUpstream:
+    """Responds once the test sets ``released``."""
 
     def __init__(self) -> None:
-        self.go = asyncio.Event()
-        self.ran = 0
+        self.released = asyncio.Event()
+        self.run_count = 0
 
     async def run(self, method, path, headers, body):
-        self.ran += 1
-        await self.go.wait()
-        return UpstreamAnswer(200, [], b"whole")
+        self.run_count += 1
+        await self.released.wait()
+        return UpstreamResponse(200, [], b"whole")
 
 
 def request(key: str = "") -> GateRequest:
@@ -33,40 +37,37 @@
     )  # fmt: skip
 
 
-def check(key_of) -> None:
+def check_queued_request_is_not_run(make_key) -> None:
     async def run() -> None:
         mint = TicketMint(b"key", Random(1))
         settings = AdmissionSettings(slots=1, warmup=0)
-        guard = CallGate(
+        gate = CallGate(
             MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1)
         )
-        upstream = Upstream()
-        guard.attach(upstream)
-        first = asyncio.ensure_future(guard.run(request()))
+        upstream = BlockingUpstream()
+        gate.attach(upstream)
+        first = asyncio.ensure_future(gate.run(request()))
         await asyncio.sleep(0)
-        key = key_of(mint, guard)
-        second = asyncio.ensure_future(guard.run(request(key)))
+        key = make_key(mint, gate)
+        second = asyncio.ensure_future(gate.run(request(key)))
         for _ in range(5):
             await asyncio.sleep(0)
-        guard.attach(None)
-        upstream.go.set()
+        gate.attach(None)
+        upstream.released.set()
         assert (await first).outcome is Outcome.ANSWERED
         result = await second
         assert (result.outcome, result.reason) == (Outcome.NOT_RUN, Reason.NO_INSTANCE)
-        assert upstream.ran == 1
-        assert guard.outstanding == 0
+        assert upstream.run_count == 1
+        assert gate.outstanding == 0
 
     uvloop.run(run())
 
 
-# The upstream stopped announcing itself while a request waited for a slot.
-# The request then starts with no upstream: its caller must be told "not run"
-# at once, and the slot be given back.
-
-
-def test_a_waiting_read_is_refused_when_the_upstream_is_gone():
-    check(lambda mint, guard: "")
+def test_queued_request_is_refused_when_upstream_detaches():
+    check_queued_request_is_not_run(lambda mint, gate: "")
 
 
-def test_a_waiting_key_is_closed_when_the_upstream_is_gone():
-    check(lambda mint, guard: mint.issue("s", "w", "b", guard.ledger.epoch))
+def test_queued_request_with_key_is_refused_when_upstream_detaches():
+    check_queued_request_is_not_run(
+        lambda mint, gate: mint.issue("s", "w", "b", gate.ledger.epoch)
+    )
--- a/packages/rattanfork-node/rattanfork_node/call_gate/upstream_client.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/upstream_client.py
@@ -1,4 +1,4 @@
-"""HTTP to the upstream."""
+"""Call path: HTTP client of this node's upstream."""
 
 from dataclasses import dataclass
 
@@ -7,27 +7,27 @@
 
 from rattanfork_node.hop_by_hop import HOP_BY_HOP
 
-#: Header by which an upstream says that it shed a request unrun.
+#: Response header by which an upstream reports that it shed a request unrun.
 NOT_RUN_HEADER = "Rattanfork-Not-Run"
-#: Headers of the upstream that its caller gets from this node instead.
-_DROPPED = HOP_BY_HOP | {"date", "server"}
+#: Response headers that are not forwarded: the node's HTTP server sets its own.
+_DROPPED_RESPONSE_HEADERS = HOP_BY_HOP | {"date", "server"}
 
 
-class UpstreamRefusedError(ConnectionError):
-    """No connection could be made: the request was not written."""
+class UpstreamConnectError(ConnectionError):
+    """No connection could be opened, so the request was not sent."""
 
 
 class UpstreamShedError(Exception):
-    """The upstream says that it refused the request for load, unrun."""
+    """The upstream reports that it shed the request without running it."""
 
 
-class UpstreamTooLargeError(Exception):
-    """The answer is larger than the limit."""
+class ResponseTooLargeError(Exception):
+    """The response body exceeds the limit."""
 
 
 @dataclass(slots=True)
-class UpstreamAnswer:
-    """A whole answer."""
+class UpstreamResponse:
+    """A complete response of the upstream."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -43,17 +43,17 @@
     url : str
         Base URL of the upstream.
     connections : int
-        Most connections at once.
-    body_limit : int
-        Most bytes of an answer.
+        Maximum number of concurrent connections.
+    max_body_bytes : int
+        Maximum size of a response body.
     """
 
-    def __init__(self, url: str, connections: int, body_limit: int) -> None:
-        self._base = url
-        self._body_limit = body_limit
-        # Shorter than any server's usual keep-alive: a connection that the
-        # upstream closes just as a posting is written would leave its
-        # outcome unknown.
+    def __init__(self, url: str, connections: int, max_body_bytes: int) -> None:
+        self._base_url = url
+        self._max_body_bytes = max_body_bytes
+        # Shorter than the usual keep-alive timeout of servers.  If the upstream
+        # closed an idle connection just as a POST is sent on it, the outcome of
+        # the request would be unknown.
         connector = aiohttp.TCPConnector(
             limit=connections, keepalive_timeout=10, use_dns_cache=False
         )
@@ -67,49 +67,51 @@
 
     async def run(
         self, method: str, path: str, headers: list[tuple[str, str]], body: bytes
-    ) -> UpstreamAnswer:
-        """Send a request and return the whole answer.
+    ) -> UpstreamResponse:
+        """Send a request and return the complete response.
 
         Raises
         ======
 
-        UpstreamRefusedError
-            If no connection could be made.
+        UpstreamConnectError
+            If no connection could be opened.
         UpstreamShedError
-            If the upstream says it did not run the request.
-        UpstreamTooLargeError
-            If the answer is larger than the limit.
+            If the upstream reports that it did not run the request.
+        ResponseTooLargeError
+            If the response body exceeds the limit.
         aiohttp.ClientError
-            If the connection broke: the request may have run.
+            If the connection was lost: the request may have run.
         """
-        url = URL(self._base + path, encoded=True)
+        url = URL(self._base_url + path, encoded=True)
         try:
             async with self._session.request(
                 method, url, headers=headers, data=body or None, allow_redirects=False
             ) as response:
-                return await self._whole(response)
+                return await self._read_response(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise UpstreamRefusedError(str(error)) from error
+            raise UpstreamConnectError(str(error)) from error
 
     async def close(self) -> None:
         """Close all connections."""
         await self._session.close()
 
-    async def _whole(self, response: aiohttp.ClientResponse) -> UpstreamAnswer:
+    async def _read_response(
+        self, response: aiohttp.ClientResponse
+    ) -> UpstreamResponse:
         if response.status == 503 and response.headers.get(NOT_RUN_HEADER):
             raise UpstreamShedError
         length = response.content_length
-        if length is not None and length > self._body_limit:
-            raise UpstreamTooLargeError
-        body = await self._read(response, length)
+        if length is not None and length > self._max_body_bytes:
+            raise ResponseTooLargeError
+        body = await self._read_body(response, length)
         headers = [
             (name, value)
             for name, value in response.headers.items()
-            if name.lower() not in _DROPPED
+            if name.lower() not in _DROPPED_RESPONSE_HEADERS
         ]
-        return UpstreamAnswer(response.status, headers, body)
+        return UpstreamResponse(response.status, headers, body)
 
-    async def _read(
+    async def _read_body(
         self, response: aiohttp.ClientResponse, length: int | None
     ) -> bytes:
         if length is not None:
@@ -117,6 +119,6 @@
         body = b""
         async for chunk in response.content.iter_any():
             body += chunk
-            if len(body) > self._body_limit:
-                raise UpstreamTooLargeError
+            if len(body) > self._max_body_bytes:
+                raise ResponseTooLargeError
         return body
