--- a/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
@@ -1,4 +1,10 @@
-"""From a caller's request to its final answer, free of HTTP."""
+"""Call path, second stage: from a parsed request to its result.
+
+Takes the requests that :mod:`rattanfork_node.edge` parsed from HTTP, applies the
+rules, picks an instance of the service, and sends the request to the
+:mod:`~rattanfork_node.call_gate` in front of it, retrying within the budgets.
+Requests by route don't pass here but through package :mod:`rattanfork_node.relay`.
+"""
 
 from rattanfork_core.account.callers import CallerBook
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out what a request machine asks."""
+"""Call path: sends the attempts of a request and collects their results."""
 
 import asyncio
 from dataclasses import dataclass
@@ -28,21 +28,35 @@
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import Call, Cancel, LinkLostError, PeerLink, PeerPool
 
-_FENCE_TIMEOUT = 1.0
-_MOSTLY_FAILING = 0.5
+_FENCE_TIMEOUT_S = 1.0
+#: Failure rate above which the last threshold of an instance is ignored.
+_MAX_FAILURE_RATE = 0.5
 
 
 @dataclass(slots=True, eq=False)
-class _Sent:
-    """Where an attempt went; no link stands for this node's own guard."""
+class _SentCall:
+    """Connection and number of a sent attempt; no link for this node's own gate."""
 
     link: PeerLink | None
     number: int
 
 
 @dataclass(slots=True, eq=False)
-class Job:
-    """One request on its way."""
+class CallJob:
+    """A request being dispatched, with its limits.
+
+    Parameters
+    ==========
+
+    key : str
+        Idempotency key (a ticket), or "".
+    threshold_key : str
+        Key of the called operation in the table of shedding thresholds.
+    data_centre : str or None
+        Data centre that a rule requires.
+    key_is_new : bool
+        Whether the key was issued for this attempt, not sent by the caller.
+    """
 
     incoming: IncomingRequest
     account: Account
@@ -50,13 +64,20 @@
     rank: float
     idempotent: bool
     key: str
-    hint_key: str
+    threshold_key: str
     data_centre: str | None = None
     key_is_new: bool = False
 
 
 class Dispatcher:
-    """Sends the attempts of requests and brings their answers.
+    """Executes the commands of a request's state machine.
+
+    Explanation
+    ===========
+
+    The state machine decides on attempts, fences and the result; this class sends
+    them to the call gate of the picked instance, over a peer connection or in
+    this process.
 
     Parameters
     ==========
@@ -64,17 +85,17 @@
     clock : Clock
         Source of the current time.
     membership : Membership
-        Who is there.
+        View of the cluster's members.
     directory : InstanceDirectory
-        Who serves what.
+        Members by the service that they serve.
     pool : PeerPool
         Connections to other nodes.
-    guard : CallGate
-        This node's own guard.
-    hints : ThresholdCache
-        Where thresholds heard on replies are kept.
+    gate : CallGate
+        This node's call gate.
+    thresholds : ThresholdCache
+        Shedding thresholds reported in replies.
     epochs : EpochCache
-        Where the guards' epochs of keys are kept.
+        Key epochs reported in replies.
     """
 
     def __init__(
@@ -83,21 +104,21 @@
         membership: Membership,
         directory: InstanceDirectory,
         pool: PeerPool,
-        guard: CallGate,
-        hints: ThresholdCache,
+        gate: CallGate,
+        thresholds: ThresholdCache,
         epochs: EpochCache,
     ) -> None:
         self._clock = clock
         self._membership = membership
         self._directory = directory
         self._pool = pool
-        self._guard = guard
-        self._hints = hints
+        self._gate = gate
+        self._thresholds = thresholds
         self._epochs = epochs
 
-    async def run(self, job: Job, machine: RequestStateMachine) -> CallResult:
-        """Bring a request to its final answer."""
-        sent: dict[int, _Sent] = {}
+    async def run(self, job: CallJob, machine: RequestStateMachine) -> CallResult:
+        """Run a request and return its result."""
+        sent: dict[int, _SentCall] = {}
         commands = machine.start()
         try:
             async with asyncio.timeout(job.account.time_left):
@@ -105,40 +126,40 @@
                     command = commands[-1]
                     if isinstance(command, Finish):
                         return command.result
-                    commands = await self._step(job, machine, command, sent)
+                    commands = await self._execute(job, machine, command, sent)
         except TimeoutError:
-            return self._give_up(machine.on_deadline(), sent)
+            return self._cancel_attempts(machine.on_deadline(), sent)
         except asyncio.CancelledError:
-            self._give_up(machine.on_caller_disconnected(), sent)
+            self._cancel_attempts(machine.on_caller_disconnected(), sent)
             raise
 
     async def fence_key(self, member: Member | None, key: str) -> FenceVerdict:
-        """Ask the guard of a key to refuse it from now on."""
+        """Fence a key at its gate; unknown if the gate does not respond in time."""
         if member is None:
             return FenceVerdict.UNKNOWN
         if member.name == self._membership.me.name:
-            return self._guard.fence_key(key)
+            return self._gate.fence_key(key)
         try:
-            async with asyncio.timeout(_FENCE_TIMEOUT):
+            async with asyncio.timeout(_FENCE_TIMEOUT_S):
                 return await self._pool.fence_key(member, key)
         except (LinkLostError, TimeoutError):
             return FenceVerdict.UNKNOWN
 
-    async def _step(
+    async def _execute(
         self,
-        job: Job,
+        job: CallJob,
         machine: RequestStateMachine,
         command: Command,
-        sent: dict[int, _Sent],
+        sent: dict[int, _SentCall],
     ) -> list[Command]:
         if isinstance(command, SendFence):
-            verdict = await self._fence(job, command, sent.get(command.attempt))
+            verdict = await self._fence_attempt(job, command, sent.get(command.attempt))
             return machine.on_fence_verdict(command.attempt, verdict)
         picker = self._directory.picker(job.incoming.service)
         state = picker.states.get(command.instance) if picker else None
-        began = self._clock.now()
+        started_at = self._clock.now()
         if state is not None:
-            state.on_sent(began)
+            state.on_sent(started_at)
         failed = True
         try:
             result = await self._send(job, command, sent)
@@ -151,27 +172,27 @@
             return machine.on_connection_lost(command.attempt)
         finally:
             if state is not None:
-                state.on_done(self._clock.now(), began, failed)
+                state.on_done(self._clock.now(), started_at, failed)
         return machine.on_result(command.attempt, result)
 
     async def _send(
-        self, job: Job, command: SendCall, sent: dict[int, _Sent]
+        self, job: CallJob, command: SendCall, sent: dict[int, _SentCall]
     ) -> CallResult:
         member = self._directory.member(command.instance)
         if member is None:
-            raise LinkLostError("the instance is not known")
+            raise LinkLostError("the instance is not in the directory")
         if member.name == self._membership.me.name:
-            sent[command.attempt] = _Sent(None, 0)
-            return await self._run_here(job, command, member)
+            sent[command.attempt] = _SentCall(None, 0)
+            return await self._run_locally(job, command, member)
         link = self._pool.ready_link(member)
         if link is None:
             link = await self._pool.open((member.host, member.peer_port))
             if link.peer != member.name:
-                return _gone(job, command)
+                return _replaced_instance_result(job, command)
         number = link.next_number()
-        sent[command.attempt] = _Sent(link, number)
-        reply = await link.ask(self._call(job, command, member, number))
-        self._hints.update(job.hint_key, member.name, reply.cut)
+        sent[command.attempt] = _SentCall(link, number)
+        reply = await link.ask(self._make_call(job, command, member, number))
+        self._thresholds.update(job.threshold_key, member.name, reply.cut)
         self._epochs.update(member.name, reply.epoch)
         return CallResult(
             Outcome(reply.outcome),
@@ -184,11 +205,11 @@
             reply.retry_after / 1000,
         )
 
-    async def _run_here(
-        self, job: Job, command: SendCall, member: Member
+    async def _run_locally(
+        self, job: CallJob, command: SendCall, member: Member
     ) -> CallResult:
         incoming = job.incoming
-        result = await self._guard.run(
+        result = await self._gate.run(
             GateRequest(
                 member.boot,
                 incoming.operation,
@@ -204,15 +225,17 @@
                 command.lent_attempts,
                 job.key,
                 job.idempotent,
-                _always,
+                _never_fenced,
             )
         )
-        self._hints.update(
-            job.hint_key, member.name, self._guard.threshold(incoming.operation)
+        self._thresholds.update(
+            job.threshold_key, member.name, self._gate.threshold(incoming.operation)
         )
         return result
 
-    def _call(self, job: Job, command: SendCall, member: Member, number: int) -> Call:
+    def _make_call(
+        self, job: CallJob, command: SendCall, member: Member, number: int
+    ) -> Call:
         incoming = job.incoming
         return Call(
             number,
@@ -232,19 +255,19 @@
             job.idempotent,
         )
 
-    async def _fence(
-        self, job: Job, command: SendFence, sent: _Sent | None
+    async def _fence_attempt(
+        self, job: CallJob, command: SendFence, sent: _SentCall | None
     ) -> FenceVerdict:
         member = self._directory.member(command.instance)
         if job.key:
             return await self.fence_key(member, job.key)
         if sent is None:
-            # The connection was lost before the call was written to it.
+            # The connection was lost before the call was sent on it.
             return FenceVerdict.NOT_RUN
         if member is None or sent.link is None:
             return FenceVerdict.UNKNOWN
         try:
-            async with asyncio.timeout(_FENCE_TIMEOUT):
+            async with asyncio.timeout(_FENCE_TIMEOUT_S):
                 [verdict] = await self._pool.fence_calls(
                     member, sent.link.connection_id, [sent.number]
                 )
@@ -252,25 +275,27 @@
             return FenceVerdict.UNKNOWN
         return verdict
 
-    def _give_up(self, commands: list[Command], sent: dict[int, _Sent]) -> CallResult:
+    def _cancel_attempts(
+        self, commands: list[Command], sent: dict[int, _SentCall]
+    ) -> CallResult:
         result = CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         for command in commands:
             if isinstance(command, SendCancel):
-                where = sent.get(command.attempt)
-                if where is not None and where.link is not None:
-                    where.link.send(Cancel(where.number))
-                    where.link.forget(where.number)
+                sent_call = sent.get(command.attempt)
+                if sent_call is not None and sent_call.link is not None:
+                    sent_call.link.send(Cancel(sent_call.number))
+                    sent_call.link.forget(sent_call.number)
             elif isinstance(command, Finish):
                 result = command.result
         return result
 
 
-def _gone(job: Job, command: SendCall) -> CallResult:
-    """Return what is known when another process answers at the address.
+def _replaced_instance_result(job: CallJob, command: SendCall) -> CallResult:
+    """Return the result if another process answers at the instance's address.
 
-    The process that was meant is gone, and has not seen this attempt.  But a
-    key may have been sent to it before, and have run: of a key that a caller
-    brought, "not run" would be a guess.
+    The addressed incarnation has ended and did not receive this attempt.  But an
+    earlier request with the same key may have run there, so "not run" can be
+    reported only for keys issued for this attempt, not for a caller's key.
     """
     if job.key and not job.key_is_new:
         return CallResult(Outcome.UNKNOWN, Reason.KEY_EXPIRED)
@@ -282,22 +307,22 @@
     )
 
 
-def blocked_instances(
-    picker: InstancePicker, hints: ThresholdCache, hint_key: str, rank: float
+def shedding_instances(
+    picker: InstancePicker, thresholds: ThresholdCache, threshold_key: str, rank: float
 ) -> tuple[frozenset[str], float]:
-    """Return the instances that would shed a rank, and the highest cut."""
-    highest = 0.0
-    blocked = []
+    """Return the instances that shed a rank, and the highest shedding threshold."""
+    highest_threshold = 0.0
+    shedding = []
     for state in picker.subset:
-        if state.failure_rate > _MOSTLY_FAILING:
-            # What it last said of its threshold died with it.
+        if state.failure_rate > _MAX_FAILURE_RATE:
+            # Its last threshold is outdated, as it no longer responds.
             continue
-        cut = hints.threshold(hint_key, state.name)
-        highest = max(highest, cut)
-        if rank >= cut:
-            blocked.append(state.name)
-    return frozenset(blocked), highest
+        threshold = thresholds.threshold(threshold_key, state.name)
+        highest_threshold = max(highest_threshold, threshold)
+        if rank >= threshold:
+            shedding.append(state.name)
+    return frozenset(shedding), highest_threshold
 
 
-def _always() -> bool:
+def _never_fenced() -> bool:
     return True
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/epoch_cache.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/epoch_cache.py
@@ -1,4 +1,4 @@
-"""The epochs of keys that other guards are in."""
+"""Call path: cache of the current key epochs of other call gates."""
 
 from collections import OrderedDict
 
@@ -6,46 +6,47 @@
 
 
 class EpochCache:
-    """Epochs heard on replies, while they are fresh.
+    """Key epochs reported in replies, for as long as they are fresh.
 
     Explanation
     ===========
 
-    A guard turns its epoch every few minutes.  Were that told to all members,
-    17,000 guards would make 57 rumours a second, for ever.  Only nodes that
-    issue keys need to know, so they hear it on replies or ask.
+    A call gate starts a new key epoch every few minutes.  Gossiped to all
+    members, the epochs of 17,000 gates would make 57 updates a second.  Only
+    nodes that issue keys need them, so these take them from replies or request
+    them.
 
     Examples
     ========
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> book = EpochCache(clock)
-    >>> book.update("w1", 3)
-    >>> book.epoch("w1")
+    >>> cache = EpochCache(clock)
+    >>> cache.update("w1", 3)
+    >>> cache.epoch("w1")
     3
     >>> clock.advance(60)
-    >>> book.epoch("w1") is None
+    >>> cache.epoch("w1") is None
     True
     """
 
-    #: Seconds; less than an epoch can last even at very high rates.
-    FRESH = 10.0
-    MOST = 4096
+    #: Shorter than an epoch lasts even at very high rates.
+    MAX_AGE_S = 10.0
+    MAX_ENTRIES = 4096
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard: OrderedDict[str, tuple[int, float]] = OrderedDict()
+        self._epochs: OrderedDict[str, tuple[int, float]] = OrderedDict()
 
     def update(self, name: str, epoch: int) -> None:
-        """Take in what a reply said."""
-        self._heard[name] = (epoch, self._clock.now())
-        if len(self._heard) > self.MOST:
-            self._heard.popitem(last=False)
+        """Store the epoch that a gate reported."""
+        self._epochs[name] = (epoch, self._clock.now())
+        if len(self._epochs) > self.MAX_ENTRIES:
+            self._epochs.popitem(last=False)
 
     def epoch(self, name: str) -> int | None:
-        """Return a guard's epoch, or None if it was not heard lately."""
-        heard = self._heard.get(name)
-        if heard is None or self._clock.now() - heard[1] > self.FRESH:
+        """Return the epoch of a gate, or None if no fresh one is known."""
+        cached = self._epochs.get(name)
+        if cached is None or self._clock.now() - cached[1] > self.MAX_AGE_S:
             return None
-        return heard[0]
+        return cached[0]
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/incoming_request.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/incoming_request.py
@@ -1,31 +1,32 @@
-"""A request as it enters the system."""
+"""Call path: a parsed request, before rules are applied."""
 
 from dataclasses import dataclass
 
 from rattanfork_core.request import Importance
 
-_IDEMPOTENT = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
+_IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
 
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest:
-    """A request as it enters the system.
+    """A request of a caller, or a child call of an upstream, without HTTP details.
 
     Parameters
     ==========
 
     service, operation : str
-        What is called; the first two parts of the path.
+        Called service and operation; the first two segments of the path.
     path : str
-        The path and query that the upstream gets.
+        Path and query sent to the upstream.
     timeout : float or None
-        Seconds in which the caller needs the answer.
+        Seconds in which the caller needs the response.
     attempt : int
-        Number of the caller's attempt, from 1.
+        Number of the caller's attempt, starting at 1.
     key : str
         Idempotency key, or "".
     context : str
-        The run that this call belongs to, or "" for a caller's request.
+        Token of the run that this child call belongs to, or "" for a caller's
+        request.
     """
 
     service: str
@@ -44,5 +45,5 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether the method says that running twice does no harm."""
-        return self.method in _IDEMPOTENT
+        """Whether the method is idempotent."""
+        return self.method in _IDEMPOTENT_METHODS
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -1,4 +1,4 @@
-"""Where requests enter."""
+"""Call path: entry point of callers' requests and of upstreams' child calls."""
 
 import asyncio
 from random import Random
@@ -26,7 +26,11 @@
 from rattanfork_platform import PlatformDownError
 
 from rattanfork_node.call_gate import CallGate
-from rattanfork_node.call_ingress.dispatcher import Dispatcher, Job, blocked_instances
+from rattanfork_node.call_ingress.dispatcher import (
+    CallJob,
+    Dispatcher,
+    shedding_instances,
+)
 from rattanfork_node.call_ingress.incoming_request import IncomingRequest
 from rattanfork_node.call_ingress.key_assigner import KeyAssigner
 from rattanfork_node.call_ingress.key_issuer import KeyIssuer
@@ -34,18 +38,22 @@
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.telemetry import Counters
 
-_NOBODY: frozenset[str] = frozenset()
+_NO_INSTANCES: frozenset[str] = frozenset()
 
 
 class CallIngress:
-    """Takes callers' requests and the upstream's own calls to the end.
+    """Serves callers' requests and the child calls of this node's upstream.
 
     Explanation
     ===========
 
-    A caller's request is classified by the rules, gets its account, and is
-    refused at once if the service it is for, or one deeper down, would shed
-    it.  A call of the upstream inherits all from the run it belongs to.
+    A caller's request gets its importance, deadline and granted retries from the
+    rules.  It is refused at once if the called service, or one downstream of it,
+    is known to shed requests of its rank.
+
+    A child call is a request that the upstream sends while it runs a request; it
+    names that run by its context token and inherits its importance, deadline and
+    retries.
     """
 
     def __init__(
@@ -57,8 +65,8 @@
         rules: RevisionState,
         directory: InstanceDirectory,
         dispatcher: Dispatcher,
-        guard: CallGate,
-        hints: ThresholdCache,
+        gate: CallGate,
+        thresholds: ThresholdCache,
         mint: TicketMint,
         counters: Counters,
         burn: BurnMeter,
@@ -72,97 +80,100 @@
         self._rules = rules
         self._directory = directory
         self._dispatcher = dispatcher
-        self._guard = guard
-        self._hints = hints
+        self._gate = gate
+        self._thresholds = thresholds
         self._mint = mint
         self._counters = counters
         self._burn = burn
-        self._issuer = key_issuer
-        self._assigner = key_assigner
-        self._book = CallerBook(clock)
-        self._next_child = 0
+        self._key_issuer = key_issuer
+        self._key_assigner = key_assigner
+        self._callers = CallerBook(clock)
+        self._last_child_number = 0
 
     async def issue_keys(self, service: str, count: int) -> list[str]:
-        """Return new keys for postings, each bound to one live instance."""
-        return await self._issuer.issue_many(service, count)
+        """Return new idempotency keys, each bound to one live instance."""
+        return await self._key_issuer.issue_many(service, count)
 
     async def serve(self, incoming: IncomingRequest) -> CallResult:
-        """Bring a request to its final answer."""
+        """Run a request and return its result."""
         if incoming.context:
-            return await self._serve_child(incoming)
-        began = self._clock.now()
-        result, treatment = await self._serve_root(incoming)
-        importance = treatment.importance
+            return await self._serve_child_call(incoming)
+        started_at = self._clock.now()
+        result, policy = await self._serve_caller_request(incoming)
+        importance = policy.importance
         counts = self._counters.requests
         counts[result.outcome.label, importance.label, result.reason.label] += 1
         good = result.outcome is Outcome.ANSWERED and result.status < 500
-        took = self._clock.now() - began
-        self._burn.add(incoming.service, importance, treatment.rule, good, took)
+        duration = self._clock.now() - started_at
+        self._burn.add(incoming.service, importance, policy.rule, good, duration)
         return result
 
-    async def _serve_root(
+    async def _serve_caller_request(
         self, incoming: IncomingRequest
     ) -> tuple[CallResult, RequestPolicy]:
-        number = self._book.arrive(incoming.request_id, incoming.caller)
+        number = self._callers.arrive(incoming.request_id, incoming.caller)
         incoming.attempt = max(incoming.attempt, number or 1)
         picker = self._directory.picker(incoming.service)
-        hint_key = f"{incoming.service}/{incoming.operation}"
+        threshold_key = f"{incoming.service}/{incoming.operation}"
         load = 0.0
-        if picker is not None and len(self._hints):
-            _, highest = blocked_instances(picker, self._hints, hint_key, RANK_LIMIT)
-            load = 1.0 - highest / RANK_LIMIT
-        treatment = select_policy(
+        if picker is not None and len(self._thresholds):
+            _, highest_threshold = shedding_instances(
+                picker, self._thresholds, threshold_key, RANK_LIMIT
+            )
+            load = 1.0 - highest_threshold / RANK_LIMIT
+        policy = select_policy(
             incoming, self._rules.rules, self._data_centre, load, self._settings
         )
-        rank = request_rank(treatment.importance, incoming.request_id)
+        rank = request_rank(policy.importance, incoming.request_id)
         if number is None:
-            # Another caller's request ID: nothing of it may be shared.
+            # The request ID is in use by another caller, and results must not be
+            # shared between callers.
             refusal = CallResult(Outcome.NOT_RUN, Reason.BAD_REQUEST)
         else:
-            refusal = self._refuse_by_rule(incoming, treatment, rank)
+            refusal = self._refuse_by_policy(incoming, policy, rank)
         if refusal is not None:
-            return await self._prove_refusal(incoming, refusal), treatment
-        deadline = self._clock.now() + treatment.deadline
-        account = Account(self._clock, deadline, treatment.attempts)
-        job = Job(
+            return await self._fence_refused_key(incoming, refusal), policy
+        deadline = self._clock.now() + policy.deadline
+        account = Account(self._clock, deadline, policy.attempts)
+        job = CallJob(
             incoming,
             account,
-            treatment.importance,
+            policy.importance,
             rank,
-            treatment.idempotent,
+            policy.idempotent,
             "",
-            hint_key,
-            treatment.action.data_centre,
+            threshold_key,
+            policy.action.data_centre,
         )
-        return await self._dispatch(job), treatment
+        return await self._dispatch(job), policy
 
-    def _refuse_by_rule(
-        self, incoming: IncomingRequest, treatment: RequestPolicy, rank: float
+    def _refuse_by_policy(
+        self, incoming: IncomingRequest, policy: RequestPolicy, rank: float
     ) -> CallResult | None:
-        action = treatment.action
+        action = policy.action
         if not self._rules.ready:
             return self._refusal(Reason.NOT_READY, rank)
         if action.refuse_after is not None:
             after = jittered_retry_after(action.refuse_after, rank, self._random)
             return CallResult(Outcome.NOT_RUN, Reason.RULE, retry_after=after)
         if action.rate is not None:
-            who = incoming.caller if action.rate_per_caller else ""
-            limit = self._book.limit(treatment.rule, who, action.rate)
+            limited_caller = incoming.caller if action.rate_per_caller else ""
+            limit = self._callers.limit(policy.rule, limited_caller, action.rate)
             if not limit.take():
                 base = max(limit.delay, self._settings.retry_after)
                 after = jittered_retry_after(base, rank, self._random)
                 return CallResult(Outcome.NOT_RUN, Reason.LIMIT, retry_after=after)
-        budget = self._book.budget(f"caller:{incoming.caller}")
+        budget = self._callers.budget(f"caller:{incoming.caller}")
         if incoming.attempt == 1:
             budget.earn()
         elif not budget.spend():
             return self._refusal(Reason.RETRY_BUDGET, rank)
         return None
 
-    async def _serve_child(self, incoming: IncomingRequest) -> CallResult:
-        context = self._guard.find_context(incoming.context)
+    async def _serve_child_call(self, incoming: IncomingRequest) -> CallResult:
+        context = self._gate.find_context(incoming.context)
         if context is None or context.ended:
-            # The run it belongs to is over: nobody would see the answer.
+            # The parent run has ended, so nobody would receive the response.
             self._counters.events["child.orphaned"] += 1
             return CallResult(Outcome.NOT_RUN, Reason.CANCELLED)
         incoming.request_id = context.request_id
@@ -173,7 +184,7 @@
             deadline = min(deadline, self._clock.now() + incoming.timeout)
         lent = context.account.lend()
         account = Account(self._clock, deadline, lent)
-        job = Job(
+        job = CallJob(
             incoming,
             account,
             context.importance,
@@ -182,8 +193,8 @@
             "",
             f"{incoming.service}/{incoming.operation}",
         )
-        self._next_child += 1
-        number = self._next_child
+        self._last_child_number += 1
+        number = self._last_child_number
         task = asyncio.current_task()
         context.cancels[number] = task.cancel
         try:
@@ -191,41 +202,45 @@
         finally:
             context.cancels.pop(number, None)
         context.account.take_back(lent, account.attempts)
-        self._pass_up(context, job, result)
+        self._report_to_parent(context, job, result)
         return result
 
-    def _pass_up(self, context: RunContext, job: Job, result: CallResult) -> None:
+    def _report_to_parent(
+        self, context: RunContext, job: CallJob, result: CallResult
+    ) -> None:
         picker = self._directory.picker(job.incoming.service)
         if picker is not None:
-            _, highest = blocked_instances(picker, self._hints, job.hint_key, job.rank)
-            context.hear_cut(highest)
+            _, highest_threshold = shedding_instances(
+                picker, self._thresholds, job.threshold_key, job.rank
+            )
+            context.hear_cut(highest_threshold)
         if result.outcome is not Outcome.ANSWERED or result.retry_after:
             context.refused_retry_after = max(
                 context.refused_retry_after, result.retry_after
             )
 
-    async def _dispatch(self, job: Job) -> CallResult:
+    async def _dispatch(self, job: CallJob) -> CallResult:
         incoming = job.incoming
         picker = self._directory.picker(incoming.service)
         if picker is None:
-            return await self._prove_refusal(
+            return await self._fence_refused_key(
                 incoming, self._refusal(Reason.NO_INSTANCE, job.rank)
             )
         if not job.idempotent:
             return await self._dispatch_keyed(job)
-        outside = _outside(picker, job.data_centre)
+        outside = _instances_outside(picker, job.data_centre)
         blocked = outside
-        if len(self._hints):
-            blocked, highest = blocked_instances(
-                picker, self._hints, job.hint_key, job.rank
+        if len(self._thresholds):
+            blocked, highest_threshold = shedding_instances(
+                picker, self._thresholds, job.threshold_key, job.rank
             )
             blocked |= outside
-            if job.rank >= highest and picker.subset:
-                probed = self._probe(picker, job.hint_key, job.rank)
+            if job.rank >= highest_threshold and picker.subset:
+                probed = self._pick_probe(picker, job.threshold_key, job.rank)
                 if probed is None:
                     return self._refusal(Reason.SHED_EARLY, job.rank)
                 blocked = blocked - {probed}
-        budget = self._book.budget(f"target:{incoming.service}")
+        budget = self._callers.budget(f"target:{incoming.service}")
         budget.earn()
 
         def pick(avoid: frozenset[str]) -> str | None:
@@ -234,87 +249,93 @@
             )
 
         machine = RequestStateMachine(job.account, True, pick, may_retry=budget.spend)
-        return self._finish(job, await self._dispatcher.run(job, machine))
+        return self._with_retry_after(job, await self._dispatcher.run(job, machine))
 
-    def _probe(self, picker: InstancePicker, hint_key: str, rank: float) -> str | None:
+    def _pick_probe(
+        self, picker: InstancePicker, threshold_key: str, rank: float
+    ) -> str | None:
         for state in picker.subset:
-            if self._hints.allow_probe(hint_key, state.name, rank):
+            if self._thresholds.allow_probe(threshold_key, state.name, rank):
                 return state.name
         return None
 
-    async def _dispatch_keyed(self, job: Job) -> CallResult:
+    async def _dispatch_keyed(self, job: CallJob) -> CallResult:
         incoming = job.incoming
         if incoming.key:
-            found = await self._ticket(incoming, job.rank)
-            if isinstance(found, CallResult):
-                return found
-            job.key = found
-            return await self._run_ticket(job)
-        # Without a key of the caller's, each attempt gets a key of its own:
-        # another is made only once the last is proved not run.
+            resolved = await self._resolve_ticket(incoming, job.rank)
+            if isinstance(resolved, CallResult):
+                return resolved
+            job.key = resolved
+            return await self._run_with_ticket(job)
+        # Without a key from the caller, each attempt gets its own key; the next
+        # attempt is made only if the previous one is proved not run.
         result = CallResult(Outcome.NOT_RUN, Reason.NO_INSTANCE)
         picker = self._directory.picker(incoming.service)
-        avoid = _outside(picker, job.data_centre)
+        avoid = _instances_outside(picker, job.data_centre)
         while not job.account.expired:
             member = self._pick_member(incoming.service, avoid)
             if member is None:
                 break
             avoid = avoid | {member.name}
-            key = await self._issuer.issue(member)
+            key = await self._key_issuer.issue(member)
             if key is None:
                 continue
             job.key, job.key_is_new = key, True
-            result = await self._run_ticket(job)
-            again = result.outcome is Outcome.NOT_RUN and result.retry_elsewhere
-            if not again or not job.account.spend():
+            result = await self._run_with_ticket(job)
+            retry = result.outcome is Outcome.NOT_RUN and result.retry_elsewhere
+            if not retry or not job.account.spend():
                 break
-        return self._finish(job, result)
+        return self._with_retry_after(job, result)
 
-    async def _ticket(self, incoming: IncomingRequest, rank: float) -> str | CallResult:
+    async def _resolve_ticket(
+        self, incoming: IncomingRequest, rank: float
+    ) -> str | CallResult:
         try:
             self._mint.read(incoming.key)
         except TicketError:
-            return await self._assigned(incoming, rank)
+            return await self._assign_ticket(incoming, rank)
         return incoming.key
 
-    async def _assigned(
+    async def _assign_ticket(
         self, incoming: IncomingRequest, rank: float
     ) -> str | CallResult:
-        if self._assigner is None:
+        if self._key_assigner is None:
             return CallResult(Outcome.NOT_RUN, Reason.BAD_REQUEST)
-        member = self._pick_member(incoming.service, _NOBODY)
+        member = self._pick_member(incoming.service, _NO_INSTANCES)
         if member is None:
             return CallResult(Outcome.UNKNOWN, Reason.NO_INSTANCE)
-        ticket = await self._issuer.issue(member)
+        ticket = await self._key_issuer.issue(member)
         if ticket is None:
             return CallResult(Outcome.UNKNOWN, Reason.CONNECTION)
         try:
-            return await self._assigner.assign(
+            return await self._key_assigner.assign(
                 incoming.service, incoming.key, incoming.caller, ticket
             )
         except PermissionError:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         except PlatformDownError:
-            # This copy is not run.  Another copy of the same key may be on
-            # its way at another node and run later, so "not run" would not
-            # be true of the key.
+            # This request is not run, but another node may be about to run one
+            # with the same key, so "not run" can't be reported for the key.
             result = self._refusal(Reason.STORE_DOWN, rank)
             result.outcome = Outcome.UNKNOWN
             return result
 
-    async def _run_ticket(self, job: Job) -> CallResult:
+    async def _run_with_ticket(self, job: CallJob) -> CallResult:
         ticket = self._mint.read(job.key)
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
-        machine = RequestStateMachine(job.account, False, _nobody, pinned=name)
+        machine = RequestStateMachine(job.account, False, _pick_none, pinned=name)
         result = await self._dispatcher.run(job, machine)
-        return self._finish(job, result)
+        return self._with_retry_after(job, result)
 
-    async def _prove_refusal(
+    async def _fence_refused_key(
         self, incoming: IncomingRequest, result: CallResult
     ) -> CallResult:
-        """Turn a refusal here into one that holds for the key as well."""
+        """Fence the key of a refused request; report "unknown" if that fails.
+
+        "Not run" holds for the key only if no other request with it can run.
+        """
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
             return result
         try:
@@ -336,7 +357,7 @@
             return None
         return member
 
-    def _finish(self, job: Job, result: CallResult) -> CallResult:
+    def _with_retry_after(self, job: CallJob, result: CallResult) -> CallResult:
         if result.outcome is not Outcome.ANSWERED and not result.retry_after:
             base = self._settings.retry_after
             result.retry_after = jittered_retry_after(base, job.rank, self._random)
@@ -348,12 +369,14 @@
         return CallResult(Outcome.NOT_RUN, reason, retry_after=after)
 
 
-def _outside(picker: InstancePicker, data_centre: str | None) -> frozenset[str]:
-    """Return the instances that a rule rules out by their data centre."""
+def _instances_outside(
+    picker: InstancePicker, data_centre: str | None
+) -> frozenset[str]:
+    """Return the instances outside the data centre that a rule requires."""
     if data_centre is None:
-        return _NOBODY
+        return _NO_INSTANCES
     return picker.instances_outside(data_centre)
 
 
-def _nobody(avoid: frozenset[str]) -> str | None:
+def _pick_none(avoid: frozenset[str]) -> str | None:
     return None
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/key_assigner.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_assigner.py
@@ -1,27 +1,26 @@
-"""Keys of the caller's own making."""
+"""Call path: binding of idempotency keys chosen by callers."""
 
 from rattanfork_core.hashing import hash64
 from rattanfork_platform import Platform
 
 
 class KeyAssigner:
-    """Binds a caller's own key to a ticket, once, through the table.
+    """Binds a caller-chosen key to a ticket, once, by a row of the platform's table.
 
     Explanation
     ===========
 
-    A ticket says itself which guard may run it.  A key of the caller's own
-    making does not, and views of the members differ, so the table decides:
-    the first node that inserts the row wins, and all others read it.  An
-    answer lost after the write is settled by the same insert again, which is
-    refused, and by reading the row.  While the table is down such keys
-    cannot be run, and tickets can.
+    A ticket names the call gate that may run it.  A key chosen by the caller
+    does not, and membership views differ, so the table decides: the first node
+    to insert the row binds the key, all others read it.  If the response to the
+    insert is lost, a second insert is refused and the row is read.  Requests with
+    such keys can't run while the table is unavailable; those with tickets can.
 
     Parameters
     ==========
 
     platform : Platform
-        The table.
+        Client of the table.
     """
 
     def __init__(self, platform: Platform) -> None:
@@ -34,18 +33,20 @@
         ======
 
         PlatformDownError
-            If the table does not answer.
+            If the table does not respond.
         PermissionError
             If the key belongs to another caller.
         """
-        # Two callers may choose the same key: it names a row for each.
+        # Two callers may choose the same key, so each has its own row.
         name = f"keys/{service}/{hash64(caller):016x}/{hash64(key):016x}"
         row = {"caller": caller, "key": key, "ticket": ticket}
         if await self._platform.transact({name: 0}, {name: row}):
             return ticket
-        found = (await self._platform.read(name)).value
-        if not isinstance(found, dict) or found.get("caller") != caller:
+        bound = (await self._platform.read(name)).value
+        if not isinstance(bound, dict) or bound.get("caller") != caller:
             raise PermissionError("the key belongs to another caller")
-        if found.get("key") != key:
-            raise PermissionError("the key is too like another one")
-        return str(found["ticket"])
+        if bound.get("key") != key:
+            raise PermissionError(
+                "the hash of the key collides with that of another key"
+            )
+        return str(bound["ticket"])
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
@@ -1,4 +1,4 @@
-"""Issues keys for postings."""
+"""Call path: issues idempotency keys for requests that aren't idempotent."""
 
 import asyncio
 
@@ -10,27 +10,27 @@
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, PeerPool
 
-_TIMEOUT = 0.5
+_EPOCH_REQUEST_TIMEOUT_S = 0.5
 
 
 class KeyIssuer:
-    """Issues keys, each bound to one incarnation of one guard.
+    """Issues idempotency keys, each bound to one incarnation of a call gate.
 
     Parameters
     ==========
 
     mint : TicketMint
-        Makes the keys.
+        Creates the keys.
     directory : InstanceDirectory
-        Who serves what.
+        Members by the service that they serve.
     pool : PeerPool
         Connections to other nodes.
-    guard : CallGate
-        This node's own guard.
-    me : str
+    gate : CallGate
+        This node's call gate.
+    own_name : str
         This node's member name.
     epochs : EpochCache
-        What was heard of other guards' epochs.
+        Known key epochs of other gates.
     """
 
     def __init__(
@@ -38,49 +38,54 @@
         mint: TicketMint,
         directory: InstanceDirectory,
         pool: PeerPool,
-        guard: CallGate,
-        me: str,
+        gate: CallGate,
+        own_name: str,
         epochs: EpochCache,
     ) -> None:
         self._mint = mint
         self._directory = directory
         self._pool = pool
-        self._guard = guard
-        self._me = me
+        self._gate = gate
+        self._own_name = own_name
         self._epochs = epochs
 
     async def issue_many(self, service: str, count: int) -> list[str]:
-        """Return keys spread over the instances of a service."""
+        """Return keys distributed over the instances of a service."""
         picker = self._directory.picker(service)
         names = picker.pick_weighted(count) if picker is not None else []
-        found = {name: self._directory.member(name) for name in set(names)}
-        members = [member for member in found.values() if member is not None]
-        epochs = await asyncio.gather(*(self._epoch(member) for member in members))
-        known = {
+        members_by_name = {name: self._directory.member(name) for name in set(names)}
+        members = [member for member in members_by_name.values() if member is not None]
+        epochs = await asyncio.gather(
+            *(self._current_epoch(member) for member in members)
+        )
+        responding_by_name = {
             member.name: (member, epoch)
             for member, epoch in zip(members, epochs, strict=True)
             if epoch is not None
         }
-        if not known:
+        if not responding_by_name:
             return []
-        # What would have gone to one that does not answer goes to the rest.
-        rest = list(known.values())
-        chosen = (known.get(name, rest[i % len(rest)]) for i, name in enumerate(names))
-        return [self._make(member, epoch) for member, epoch in chosen]
+        # Keys for a gate that did not respond are issued for the others.
+        responding = list(responding_by_name.values())
+        chosen = (
+            responding_by_name.get(name, responding[i % len(responding)])
+            for i, name in enumerate(names)
+        )
+        return [self._issue_in_epoch(member, epoch) for member, epoch in chosen]
 
     async def issue(self, member: Member) -> str | None:
-        """Return a key for one guard, or None if it does not answer."""
-        epoch = await self._epoch(member)
-        return None if epoch is None else self._make(member, epoch)
+        """Return a key for a member's gate, or None if it does not respond."""
+        epoch = await self._current_epoch(member)
+        return None if epoch is None else self._issue_in_epoch(member, epoch)
 
-    async def _epoch(self, member: Member) -> int | None:
-        if member.name == self._me:
-            return self._guard.ledger.epoch
+    async def _current_epoch(self, member: Member) -> int | None:
+        if member.name == self._own_name:
+            return self._gate.ledger.epoch
         epoch = self._epochs.epoch(member.name)
         if epoch is not None:
             return epoch
         try:
-            async with asyncio.timeout(_TIMEOUT):
+            async with asyncio.timeout(_EPOCH_REQUEST_TIMEOUT_S):
                 address = (member.host, member.peer_port)
                 epoch = await self._pool.ask_epoch(address)
         except (LinkLostError, TimeoutError):
@@ -88,5 +93,5 @@
         self._epochs.update(member.name, epoch)
         return epoch
 
-    def _make(self, member: Member, epoch: int) -> str:
+    def _issue_in_epoch(self, member: Member, epoch: int) -> str:
         return self._mint.issue(member.service, member.instance, member.boot, epoch)
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/request_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/request_policy.py
@@ -1,4 +1,4 @@
-"""How the rules have a request treated."""
+"""Call path: effect of the rules and defaults on a request."""
 
 from dataclasses import dataclass
 
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPolicy:
-    """How a request is treated.
+    """Limits and importance of a request, from the rules and defaults.
 
     Parameters
     ==========
 
     rule : str
-        The rule that decided, or "" for the defaults.
+        Name of the matching rule, or "" if none matched.
     deadline : float
-        Seconds until the answer must be out.
+        Seconds in which the response must be sent.
     attempts : int
-        Extra attempts granted to the whole tree of calls.
+        Retries granted to the request and all its child calls together.
     """
 
     rule: str
@@ -41,7 +41,7 @@
     load: float,
     defaults: RequestSettings,
 ) -> RequestPolicy:
-    """Return how the first rule that matches has a caller's request treated."""
+    """Return the policy of a caller's request by the first matching rule."""
     importance = incoming.importance
     facts = RequestFacts(
         incoming.service,
@@ -65,8 +65,8 @@
         action,
         facts.importance if action.importance is None else action.importance,
         min(deadline, defaults.longest_deadline),
-        # The grant is given once, with the caller's first attempt: retries
-        # by caller and system would otherwise multiply.
+        # Only the caller's first attempt is granted retries, as retries by the
+        # caller and by the nodes would multiply.
         attempts if incoming.attempt == 1 else 0,
         incoming.idempotent if idempotent is None else idempotent,
     )
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
@@ -1,4 +1,4 @@
-"""Rules, wishes and defaults become one treatment."""
+"""Policy of a request by rules, values requested by the caller, and defaults."""
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance
@@ -30,45 +30,45 @@
     return IncomingRequest(**{**fields, **more})
 
 
-def treated(load: float = 0.0, **more: object):
+def policy_of(load: float = 0.0, **more: object):
     return select_policy(incoming(**more), RULES, "dc1", load, RequestSettings())
 
 
-def test_the_rule_decides_over_the_callers_wish():
-    treatment = treated(importance=Importance.LOW, timeout=30.0)
-    assert treatment.importance is Importance.CRITICAL
-    assert (treatment.deadline, treatment.attempts) == (1.0, 3)
+def test_rule_overrides_values_requested_by_caller():
+    policy = policy_of(importance=Importance.LOW, timeout=30.0)
+    assert policy.importance is Importance.CRITICAL
+    assert (policy.deadline, policy.attempts) == (1.0, 3)
 
 
-def test_without_a_rule_the_wish_and_the_defaults_hold():
-    treatment = treated(operation="view", importance=Importance.HIGH)
-    assert treatment.importance is Importance.HIGH
-    assert (treatment.rule, treatment.deadline, treatment.attempts) == ("", 2.0, 2)
+def test_requested_values_and_defaults_apply_without_rule():
+    policy = policy_of(operation="view", importance=Importance.HIGH)
+    assert policy.importance is Importance.HIGH
+    assert (policy.rule, policy.deadline, policy.attempts) == ("", 2.0, 2)
 
 
-def test_a_callers_retry_gets_no_attempts_of_its_own():
-    # Callers and system both retry, and the retries multiply.
-    assert treated(attempt=2).attempts == 0
+def test_retry_by_caller_is_granted_no_retries():
+    # Otherwise retries by the caller and by the nodes would multiply.
+    assert policy_of(attempt=2).attempts == 0
 
 
-def test_a_deadline_of_hours_is_cut():
-    assert treated(operation="view", timeout=7200.0).deadline == 60.0
+def test_deadline_is_limited_to_longest_deadline():
+    assert policy_of(operation="view", timeout=7200.0).deadline == 60.0
 
 
-def test_load_changes_the_treatment():
-    assert treated(operation="view", load=0.6).action.refuse_after == 7
+def test_rule_matches_on_load():
+    assert policy_of(operation="view", load=0.6).action.refuse_after == 7
 
 
-def test_a_request_id_belongs_to_its_first_caller():
-    book = CallerBook(ManualClock())
-    seen = [book.arrive("r", caller) for caller in ("ann", "ann", "bob")]
+def test_request_id_of_another_caller_is_refused():
+    callers = CallerBook(ManualClock())
+    seen = [callers.arrive("r", caller) for caller in ("ann", "ann", "bob")]
     assert seen == [1, 2, None]
 
 
-def test_what_is_remembered_of_callers_is_bounded():
-    book = CallerBook(ManualClock(), most=10)
+def test_memory_of_callers_is_bounded():
+    callers = CallerBook(ManualClock(), most=10)
     for i in range(100):
-        book.arrive(f"r{i}", "ann")
-        book.budget(f"caller:{i}")
-        book.limit("rule", f"{i}", 1.0)
-    assert book.arrive("r0", "bob") == 1
+        callers.arrive(f"r{i}", "ann")
+        callers.budget(f"caller:{i}")
+        callers.limit("rule", f"{i}", 1.0)
+    assert callers.arrive("r0", "bob") == 1
