--- a/packages/rattanfork-node/rattanfork_node/edge/headers.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/headers.py
@@ -1,4 +1,4 @@
-"""The HTTP headers of the callers' contract."""
+"""Call path: HTTP headers of the interface to callers and upstreams."""
 
 from rattanfork_node.hop_by_hop import HOP_BY_HOP
 
@@ -12,8 +12,8 @@
 OUTCOME = "Rattanfork-Outcome"
 REASON = "Rattanfork-Reason"
 
-#: Headers that the system reads and does not pass on as they came.
-OWN = frozenset(
+#: Request headers that the node interprets and does not forward unchanged.
+CONSUMED = frozenset(
     name.lower() for name in (REQUEST_ID, CALLER, IMPORTANCE, TIMEOUT, ATTEMPT, CONTEXT)
 )
-DROPPED = OWN | HOP_BY_HOP | {"expect", "host"}
+NOT_FORWARDED = CONSUMED | HOP_BY_HOP | {"expect", "host"}
--- a/packages/rattanfork-node/rattanfork_node/edge/render.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/render.py
@@ -1,4 +1,4 @@
-"""From a result to an HTTP answer."""
+"""Call path: HTTP responses for results."""
 
 from math import ceil
 
@@ -8,7 +8,7 @@
 
 from rattanfork_node.edge import headers as names
 
-_STATUS = {
+_STATUS_BY_REASON = {
     Reason.LIMIT: 429,
     Reason.RETRY_BUDGET: 429,
     Reason.KEY_MISUSED: 409,
@@ -23,7 +23,7 @@
 
 
 def render_result(result: CallResult, request_id: str) -> web.Response:
-    """Return the HTTP answer for a result."""
+    """Return the HTTP response for a result."""
     headers: CIMultiDict[str] = CIMultiDict(result.headers)
     headers[names.OUTCOME] = result.outcome.label
     headers[names.REQUEST_ID] = request_id
@@ -32,14 +32,14 @@
             headers["Retry-After"] = str(ceil(result.retry_after))
         return web.Response(status=result.status, headers=headers, body=result.body)
     headers[names.REASON] = result.reason.label
-    # Whole seconds are all that Retry-After can say.
+    # Retry-After has a resolution of one second.
     headers["Retry-After"] = str(max(1, ceil(result.retry_after)))
     text = f"{result.outcome.label}: {result.reason.label}\n"
-    return web.Response(status=_status(result), headers=headers, text=text)
+    return web.Response(status=_status_code(result), headers=headers, text=text)
 
 
-def _status(result: CallResult) -> int:
-    default = _NOT_RUN_STATUS
+def _status_code(result: CallResult) -> int:
+    status = _NOT_RUN_STATUS
     if result.outcome is Outcome.UNKNOWN:
-        default = _UNKNOWN_STATUS
-    return _STATUS.get(result.reason, default)
+        status = _UNKNOWN_STATUS
+    return _STATUS_BY_REASON.get(result.reason, status)
--- a/packages/rattanfork-node/rattanfork_node/edge/server.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a node."""
+"""Call path: HTTP server for callers and for this node's upstream."""
 
 import asyncio
 import json
@@ -17,12 +17,19 @@
 from rattanfork_node.telemetry.metrics import Metrics
 
 _KEYS_PATH = "/rattanfork/keys"
-_MOST_KEYS = 100
-_LONGEST_LINE = 16_384
+_MAX_KEYS = 100
+_MAX_LINE_BYTES = 16_384
 
 
 class CallServer:
-    """Takes HTTP requests and answers them.
+    """HTTP server of the call path, for callers and this node's upstream.
+
+    Explanation
+    ===========
+
+    While the node drains, the listener is closed and requests of callers on open
+    connections are refused.  Child calls on open connections are still served, so
+    that runs in progress can complete.
 
     Parameters
     ==========
@@ -30,15 +37,15 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of request IDs.
+        Generates request IDs.
     ingress : CallIngress
-        Brings requests to their end.
+        Runs the parsed requests.
     limits : LimitSettings
-        Bounds.
+        Maximum number of concurrent requests, and maximum size of a body.
     counters : Counters
-        What happened.
+        Counts refusals and disconnects.
     metrics : Metrics
-        Takes durations.
+        Records the durations of callers' requests.
     """
 
     def __init__(
@@ -57,23 +64,23 @@
         self._counters = counters
         self._metrics = metrics
         self._in_flight = 0
-        self._leaving = False
+        self._draining = False
         self._server: web.Server | None = None
         self._listener: asyncio.Server | None = None
 
     @property
     def in_flight(self) -> int:
-        """Requests being served."""
+        """Number of requests being served."""
         return self._in_flight
 
     async def start(self, host: str, port: int) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ======
 
         OSError
-            If the address cannot be had.
+            If the address can't be bound.
         """
         self._server = web.Server(
             self._handle,
@@ -81,8 +88,8 @@
             logger=counting_logger(self._counters),
             handler_cancellation=True,
             keepalive_timeout=75,
-            max_line_size=_LONGEST_LINE,
-            max_field_size=_LONGEST_LINE,
+            max_line_size=_MAX_LINE_BYTES,
+            max_field_size=_MAX_LINE_BYTES,
         )
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
@@ -90,13 +97,13 @@
         )
 
     def drain(self) -> None:
-        """Take no new requests of callers."""
-        self._leaving = True
+        """Close the listener and refuse new requests of callers."""
+        self._draining = True
         if self._listener is not None:
             self._listener.close()
 
     async def stop(self) -> None:
-        """Close what is left."""
+        """Close the listener and all connections."""
         self.drain()
         if self._server is not None:
             await self._server.shutdown(0.5)
@@ -106,50 +113,50 @@
             return self._refuse(Reason.SHED, "")
         self._in_flight += 1
         try:
-            return await self._serve(request)
+            return await self._serve_request(request)
         except asyncio.CancelledError:
             self._counters.events["caller.left"] += 1
             raise
         finally:
             self._in_flight -= 1
 
-    async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        began = self._clock.now()
+    async def _serve_request(self, request: web.BaseRequest) -> web.StreamResponse:
+        started_at = self._clock.now()
         length = request.content_length
         if length is not None and length > self._limits.body:
             return self._refuse(Reason.TOO_LARGE, "")
         if request.path == _KEYS_PATH:
             return await self._issue_keys(request)
         try:
-            body = await self._read(request) if request.body_exists else b""
+            body = await self._read_body(request) if request.body_exists else b""
             if body is None:
                 return self._refuse(Reason.TOO_LARGE, "")
             incoming = parse_request(request, body, self._random)
         except BadRequestError as error:
             self._counters.events["bad.http"] += 1
             return self._bad_request(str(error))
-        if self._leaving and not incoming.context:
+        if self._draining and not incoming.context:
             return self._refuse(Reason.LEAVING, incoming.request_id)
-        result = await self._ingress_serve(incoming)
+        result = await self._run(incoming)
         if not incoming.context:
-            took = self._clock.now() - began
-            self._metrics.record_duration(incoming.service, took)
+            duration = self._clock.now() - started_at
+            self._metrics.record_duration(incoming.service, duration)
         response = render_result(result, incoming.request_id)
-        if self._leaving:
+        if self._draining:
             response.force_close()
         return response
 
-    async def _ingress_serve(self, incoming: IncomingRequest) -> CallResult:
+    async def _run(self, incoming: IncomingRequest) -> CallResult:
         try:
             return await self._ingress.serve(incoming)
         except asyncio.CancelledError:
             if not incoming.context or asyncio.current_task().uncancel() > 0:
                 raise
-            # The run this call belongs to has ended; its connection may live
-            # on, and is owed an answer.
+            # The parent run has ended and cancelled this child call.  The
+            # connection may still be open, so it needs a response.
             return CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
 
-    async def _read(self, request: web.BaseRequest) -> bytes | None:
+    async def _read_body(self, request: web.BaseRequest) -> bytes | None:
         body = b""
         async for chunk in request.content.iter_any():
             body += chunk
@@ -162,8 +169,8 @@
         count = request.query.get("count", "1")
         if request.method != "POST" or not service or not count.isdigit():
             return self._bad_request(f"POST {_KEYS_PATH}?service=NAME&count=N")
-        if not 1 <= int(count) <= _MOST_KEYS:
-            return self._bad_request(f"count: from 1 to {_MOST_KEYS}")
+        if not 1 <= int(count) <= _MAX_KEYS:
+            return self._bad_request(f"count: from 1 to {_MAX_KEYS}")
         keys = await self._ingress.issue_keys(service, int(count))
         if not keys:
             return self._refuse(Reason.NO_INSTANCE, "")
@@ -185,6 +192,6 @@
         self._counters.events[f"edge.{reason.label}"] += 1
         result = CallResult(Outcome.NOT_RUN, reason, retry_after=1.0)
         response = render_result(result, request_id)
-        if reason is Reason.TOO_LARGE or self._leaving:
+        if reason is Reason.TOO_LARGE or self._draining:
             response.force_close()
         return response
--- a/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
@@ -1,4 +1,4 @@
-"""What callers are told: outcome, status, and when to come back."""
+"""HTTP responses: status, outcome header and Retry-After."""
 
 import pytest
 from rattanfork_core.request import CallResult, Outcome, Reason
@@ -17,19 +17,19 @@
         (Outcome.UNKNOWN, Reason.KEY_EXPIRED, 410),
     ],
 )
-def test_each_outcome_has_its_status_and_time_to_come_back(outcome, reason, status):
+def test_refusal_has_status_of_its_reason_and_retry_after(outcome, reason, status):
     response = render_result(CallResult(outcome, reason, retry_after=2.2), "r1")
     assert response.status == status
     assert response.headers["Retry-After"] == "3"
     assert response.headers["Rattanfork-Outcome"] == outcome.label
 
 
-def test_a_time_to_come_back_is_never_zero():
+def test_retry_after_is_at_least_one_second():
     response = render_result(CallResult(Outcome.NOT_RUN, Reason.SHED), "r1")
     assert response.headers["Retry-After"] == "1"
 
 
-def test_an_answer_is_passed_on_whole():
+def test_upstream_response_is_forwarded_unchanged():
     result = CallResult(
         Outcome.ANSWERED, status=201, headers=[("X-Ledger", "7")], body=b"whole"
     )
@@ -39,6 +39,6 @@
     assert "Retry-After" not in response.headers
 
 
-def test_a_refusal_deeper_down_says_when_to_come_back():
+def test_failed_response_has_retry_after_of_downstream_refusal():
     result = CallResult(Outcome.ANSWERED, status=503, retry_after=1.5)
     assert render_result(result, "r1").headers["Retry-After"] == "2"
