--- a/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
@@ -44,14 +44,14 @@
     ]
 
 
-def answered_result(context: RunContext, answer: UpstreamResponse) -> CallResult:
+def answered_result(context: RunContext, response: UpstreamResponse) -> CallResult:
     """Return the result of a run for which the upstream sent a response."""
     return CallResult(
         Outcome.ANSWERED,
         Reason.NONE,
-        answer.status,
-        answer.headers,
-        answer.body,
+        response.status,
+        response.headers,
+        response.body,
         unused_attempts=context.account.attempts,
         retry_after=context.refused_retry_after,
     )
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -167,7 +167,7 @@
         self._apply_decisions(self._admission.tick())
 
     def fence_key(self, key: str) -> FenceVerdict:
-        """Fence a key: if it was not handed over, it never will be."""
+        """Fence a key: it is no longer handed to the upstream."""
         try:
             ticket = self._ticket_mint.read(key)
         except TicketError:
@@ -313,13 +313,13 @@
                 # request with a key is kept for the caller's next attempt.
                 time_left = max(time_left, 30.0)
             async with asyncio.timeout(time_left):
-                answer = await self._upstream.run(
+                response = await self._upstream.run(
                     request.method, request.path, headers, request.body
                 )
             succeeded = True
             self._consecutive_refusals = 0
             self._downstream_thresholds.update(request.operation, "", context.deep_cut)
-            result = answered_result(context, answer)
+            result = answered_result(context, response)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
             raise
@@ -340,7 +340,7 @@
     ) -> CallResult:
         if isinstance(error, UpstreamConnectError | UpstreamShedError):
             # Nothing was sent, or the upstream reports that it did not run the
-            # request, so the request counts as not handed over.
+            # request, so the hand-over recorded in the ledger is withdrawn.
             if record is not None:
                 self._ledger.retract(record)
             shed = isinstance(error, UpstreamShedError)
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/key_assigner.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_assigner.py
@@ -10,11 +10,12 @@
     Explanation
     ===========
 
-    A ticket names the call gate that may run it.  A key chosen by the caller
-    does not, and membership views differ, so the table decides: the first node
-    to insert the row binds the key, all others read it.  If the response to the
-    insert is lost, a second insert is refused and the row is read.  Requests with
-    such keys can't run while the table is unavailable; those with tickets can.
+    A ticket, a key issued by a node, names the call gate that may run it.  A key
+    chosen by a caller does not, and membership views differ, so the table decides:
+    the first node to insert the row binds the key, all others read it.  If the
+    response to the insert is lost, a second insert is refused and the row is read.
+    Requests with such keys can't run while the table is unavailable; those with
+    tickets can.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -35,9 +35,9 @@
     Explanation
     ===========
 
-    The ledger records which requests of a connection were handed over to the
-    upstream.  It is kept after the connection is closed, because the peer asks
-    over a new connection whether the requests that it lost were run.
+    The ledger records which requests of a connection were handed to the upstream.
+    It is kept after the connection is closed, because the peer asks over a new
+    connection whether the requests that it lost were run.
 
     Parameters
     ==========
@@ -55,9 +55,9 @@
         self._links: set[PeerLink] = set()
         self._gossip_task: GossipTask | None = None
 
-    def set_gossip_task(self, member: GossipTask) -> None:
+    def set_gossip_task(self, gossip_task: GossipTask) -> None:
         """Set the gossip task, which is created after this handler."""
-        self._gossip_task = member
+        self._gossip_task = gossip_task
 
     @property
     def links(self) -> set[PeerLink]:
@@ -107,7 +107,7 @@
         return ledger
 
     def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
-        """Refuse further requests of a connection; return verdicts on some."""
+        """Fence a connection; return verdicts on the requests that are listed."""
         ledger = self._ledgers.get(fence.connection_id)
         if ledger is None:
             return [FenceVerdict.UNKNOWN] * len(fence.calls)
--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -160,7 +160,7 @@
 
 
 class Fence(NamedTuple):
-    """Fences a connection: its requests that were not handed over never are.
+    """Fences a connection: no more of its requests are handed to the upstream.
 
     ``calls`` are the numbers of the requests on which a verdict is requested.
     """
@@ -171,14 +171,18 @@
 
 
 class FenceKey(NamedTuple):
-    """Fences an idempotency key: if it was not handed over, it never is."""
+    """Fences an idempotency key: it is no longer handed to the upstream."""
 
     number: int
     key: str
 
 
 class FenceReply(NamedTuple):
-    """Verdict on each fenced request, or on the key: run, not run or unknown."""
+    """Verdict on each fenced request, or on the key.
+
+    A verdict is that the request was handed to the upstream, that it was not and
+    never will be, or unknown.
+    """
 
     number: int
     verdicts: list
--- a/packages/rattanfork-node/rattanfork_node/peer/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/pool.py
@@ -96,7 +96,7 @@
         return await asyncio.shield(task)
 
     async def fence_calls(
-        self, member: Member, connection: str, calls: list[int]
+        self, member: Member, connection_id: str, calls: list[int]
     ) -> list[FenceVerdict]:
         """Fence a lost connection at its gate, over another connection.
 
@@ -107,7 +107,7 @@
             If the gate does not answer.
         """
         link = await self.open((member.host, member.peer_port))
-        reply = await link.ask(Fence(link.next_number(), connection, calls))
+        reply = await link.ask(Fence(link.next_number(), connection_id, calls))
         return [FenceVerdict(verdict) for verdict in reply.verdicts]
 
     async def fence_key(self, member: Member, key: str) -> FenceVerdict:
