--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -278,7 +278,7 @@
 
         links, held = memory_of(make)
         for link in links:
-            link._open = True
+            link._authenticated = True
 
         def beat(links=links) -> None:
             for link in links:
--- a/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
@@ -17,7 +17,9 @@
         (Outcome.UNKNOWN, Reason.KEY_EXPIRED, 410),
     ],
 )
-def test_refusal_has_status_of_its_reason_and_retry_after(outcome, reason, status):
+def test_unanswered_result_has_status_of_its_reason_and_retry_after(
+    outcome, reason, status
+):
     response = render_result(CallResult(outcome, reason, retry_after=2.2), "r1")
     assert response.status == status
     assert response.headers["Retry-After"] == "3"
--- a/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
@@ -206,7 +206,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_arbitrary_bytes_before_handshake_are_rejected(data):
+def test_arbitrary_bytes_before_handshake_cause_no_call(data):
     async def run():
         pair = LinkPair()
         pair.links[1].data_received(data)
