--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -6,7 +6,6 @@
 from random import Random
 
 import aiohttp
-from rattanfork_core.account import RunContext
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -14,18 +13,19 @@
     Start,
     Waiter,
 )
-from rattanfork_core.atmostonce import (
+from rattanfork_core.budgets import RunContext
+from rattanfork_core.clock import Clock
+from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.hashing import hash64
+from rattanfork_core.idempotency import (
     AlreadyAnswered,
     JoinRunning,
+    KeyRegistry,
     RefuseKey,
-    RunLedger,
     RunRecord,
     TicketError,
-    TicketMint,
+    TicketIssuer,
 )
-from rattanfork_core.clock import Clock
-from rattanfork_core.gate_status import ThresholdCache
-from rattanfork_core.hashing import hash64
 from rattanfork_core.request import (
     CallResult,
     FenceVerdict,
@@ -80,7 +80,7 @@
         Source of the current time.
     instance, boot : str
         Name of the instance, and ID of this incarnation of its gate.
-    mint : TicketMint
+    mint : TicketIssuer
         Decodes idempotency keys.
     admission : AdmissionSettings
         Bounds of the queue and of the concurrency limit.
@@ -95,7 +95,7 @@
         clock: Clock,
         instance: str,
         boot: str,
-        mint: TicketMint,
+        mint: TicketIssuer,
         admission: AdmissionSettings,
         counters: Counters,
         random: Random,
@@ -105,7 +105,7 @@
         self._ticket_mint = mint
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
-        self._ledger = RunLedger(clock, instance, boot)
+        self._ledger = KeyRegistry(clock, instance, boot)
         self._downstream_thresholds = ThresholdCache(clock)
         self._counters = counters
         self._random = random
@@ -128,7 +128,7 @@
         return self._admission
 
     @property
-    def ledger(self) -> RunLedger:
+    def ledger(self) -> KeyRegistry:
         """The ledger of idempotency keys."""
         return self._ledger
 
@@ -169,7 +169,7 @@
     def fence_key(self, key: str) -> FenceVerdict:
         """Fence a key: it is no longer handed to the upstream."""
         try:
-            ticket = self._ticket_mint.read(key)
+            ticket = self._ticket_mint.parse(key)
         except TicketError:
             return FenceVerdict.UNKNOWN
         return self._ledger.fence(key, ticket)
@@ -194,11 +194,11 @@
 
     async def _run_keyed(self, request: GateRequest) -> CallResult:
         try:
-            ticket = self._ticket_mint.read(request.key)
+            ticket = self._ticket_mint.parse(request.key)
         except TicketError:
             return self._refusal(request, Reason.BAD_REQUEST)
         digest = hash64(f"{request.method} {request.path}") ^ hash64(request.body.hex())
-        verdict = self._ledger.arrive(request.key, ticket, request.caller, digest)
+        verdict = self._ledger.on_request(request.key, ticket, request.caller, digest)
         if isinstance(verdict, RefuseKey):
             return CallResult(verdict.outcome, verdict.reason)
         if isinstance(verdict, AlreadyAnswered):
@@ -221,7 +221,7 @@
             self._keyed_tasks.discard(task)
             self._result_futures.pop(request.key, None)
             if task.cancelled() or task.exception() is not None:
-                self._ledger.lose(record)
+                self._ledger.on_connection_lost(record)
                 result = CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
             else:
                 result = task.result()
@@ -318,7 +318,7 @@
                 )
             succeeded = True
             self._consecutive_refusals = 0
-            self._downstream_thresholds.update(request.operation, "", context.deep_cut)
+            self._downstream_thresholds.update(request.operation, "", context.downstream_threshold)
             result = answered_result(context, response)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
@@ -332,7 +332,7 @@
                 self._counters.events["cancelled.children"] += cancelled
             self._apply_decisions(self._admission.finish(waiter.key, succeeded))
         if record is not None and result.outcome is Outcome.ANSWERED:
-            self._ledger.answer(record, result)
+            self._ledger.store_answer(record, result)
         return result
 
     def _failure_result(
@@ -342,7 +342,7 @@
             # Nothing was sent, or the upstream reports that it did not run the
             # request, so the hand-over recorded in the ledger is withdrawn.
             if record is not None:
-                self._ledger.retract(record)
+                self._ledger.cancel_hand_over(record)
             shed = isinstance(error, UpstreamShedError)
             self._consecutive_refusals += not shed
             if shed:
@@ -350,7 +350,7 @@
             reason = Reason.SHED if shed else Reason.UPSTREAM_DOWN
             return self._refusal(request, reason)
         if record is not None:
-            self._ledger.lose(record)
+            self._ledger.on_connection_lost(record)
         if isinstance(error, TimeoutError):
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         if isinstance(error, ResponseTooLargeError):
--- a/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
@@ -9,8 +9,8 @@
 
 import uvloop
 from rattanfork_core.admission import AdmissionSettings
-from rattanfork_core.atmostonce import TicketMint
 from rattanfork_core.clock import MonotonicClock
+from rattanfork_core.idempotency import TicketIssuer
 from rattanfork_core.request import Importance, Outcome, Reason
 from rattanfork_node.call_gate import CallGate, GateRequest, UpstreamResponse
 from rattanfork_node.telemetry import Counters
@@ -39,7 +39,7 @@
 
 def check_queued_request_is_not_run(make_key) -> None:
     async def run() -> None:
-        mint = TicketMint(b"key", Random(1))
+        mint = TicketIssuer(b"key", Random(1))
         settings = AdmissionSettings(slots=1, warmup=0)
         gate = CallGate(
             MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1)
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
@@ -6,7 +6,7 @@
 Requests by route don't pass here but through package :mod:`rattanfork_node.relay`.
 """
 
-from rattanfork_core.account.callers import CallerBook
+from rattanfork_core.budgets.caller_table import CallerTable
 
 from rattanfork_node.call_ingress.dispatcher import Dispatcher
 from rattanfork_node.call_ingress.epoch_cache import EpochCache
@@ -18,7 +18,7 @@
 from rattanfork_node.member.directory import InstanceDirectory
 
 __all__ = [
-    "CallerBook",
+    "CallerTable",
     "InstanceDirectory",
     "Dispatcher",
     "EpochCache",
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -3,12 +3,12 @@
 import asyncio
 from random import Random
 
-from rattanfork_core.account import Account, RunContext
-from rattanfork_core.account.callers import CallerBook
-from rattanfork_core.atmostonce import TicketError, TicketMint
+from rattanfork_core.budgets import RequestBudget, RunContext
+from rattanfork_core.budgets.caller_table import CallerTable
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import ThresholdCache
+from rattanfork_core.idempotency import TicketError, TicketIssuer
 from rattanfork_core.membership import Member, MemberStatus
 from rattanfork_core.request import (
     CallResult,
@@ -67,7 +67,7 @@
         dispatcher: Dispatcher,
         gate: CallGate,
         thresholds: ThresholdCache,
-        mint: TicketMint,
+        mint: TicketIssuer,
         counters: Counters,
         burn: BurnMeter,
         key_issuer: KeyIssuer,
@@ -87,7 +87,7 @@
         self._burn = burn
         self._key_issuer = key_issuer
         self._key_assigner = key_assigner
-        self._callers = CallerBook(clock)
+        self._callers = CallerTable(clock)
         self._last_child_number = 0
 
     async def issue_keys(self, service: str, count: int) -> list[str]:
@@ -111,7 +111,7 @@
     async def _serve_caller_request(
         self, incoming: IncomingRequest
     ) -> tuple[CallResult, RequestPolicy]:
-        number = self._callers.arrive(incoming.request_id, incoming.caller)
+        number = self._callers.count_attempt(incoming.request_id, incoming.caller)
         incoming.attempt = max(incoming.attempt, number or 1)
         picker = self._directory.picker(incoming.service)
         threshold_key = f"{incoming.service}/{incoming.operation}"
@@ -134,7 +134,7 @@
         if refusal is not None:
             return await self._fence_refused_key(incoming, refusal), policy
         deadline = self._clock.now() + policy.deadline
-        account = Account(self._clock, deadline, policy.attempts)
+        account = RequestBudget(self._clock, deadline, policy.attempts)
         job = CallJob(
             incoming,
             account,
@@ -158,12 +158,12 @@
             return CallResult(Outcome.NOT_RUN, Reason.RULE, retry_after=after)
         if action.rate is not None:
             limited_caller = incoming.caller if action.rate_per_caller else ""
-            limit = self._callers.limit(policy.rule, limited_caller, action.rate)
+            limit = self._callers.rate_limit(policy.rule, limited_caller, action.rate)
             if not limit.take():
                 base = max(limit.delay, self._settings.retry_after)
                 after = jittered_retry_after(base, rank, self._random)
                 return CallResult(Outcome.NOT_RUN, Reason.LIMIT, retry_after=after)
-        budget = self._callers.budget(f"caller:{incoming.caller}")
+        budget = self._callers.retry_budget(f"caller:{incoming.caller}")
         if incoming.attempt == 1:
             budget.earn()
         elif not budget.spend():
@@ -182,8 +182,8 @@
         deadline = context.account.deadline
         if incoming.timeout is not None:
             deadline = min(deadline, self._clock.now() + incoming.timeout)
-        lent = context.account.lend()
-        account = Account(self._clock, deadline, lent)
+        lent = context.account.delegate()
+        account = RequestBudget(self._clock, deadline, lent)
         job = CallJob(
             incoming,
             account,
@@ -196,12 +196,12 @@
         self._last_child_number += 1
         number = self._last_child_number
         task = asyncio.current_task()
-        context.cancels[number] = task.cancel
+        context.cancel_callbacks[number] = task.cancel
         try:
             result = await self._dispatch(job)
         finally:
-            context.cancels.pop(number, None)
-        context.account.take_back(lent, account.attempts)
+            context.cancel_callbacks.pop(number, None)
+        context.account.reclaim(lent, account.attempts)
         self._report_to_parent(context, job, result)
         return result
 
@@ -213,10 +213,10 @@
             _, highest_threshold = shedding_instances(
                 picker, self._thresholds, job.threshold_key, job.rank
             )
-            context.hear_cut(highest_threshold)
+            context.on_threshold(highest_threshold)
         if result.outcome is not Outcome.ANSWERED or result.retry_after:
-            context.refused_retry_after = max(
-                context.refused_retry_after, result.retry_after
+            context.downstream_retry_after = max(
+                context.downstream_retry_after, result.retry_after
             )
 
     async def _dispatch(self, job: CallJob) -> CallResult:
@@ -240,7 +240,7 @@
                 if probed is None:
                     return self._refusal(Reason.SHED_EARLY, job.rank)
                 blocked = blocked - {probed}
-        budget = self._callers.budget(f"target:{incoming.service}")
+        budget = self._callers.retry_budget(f"target:{incoming.service}")
         budget.earn()
 
         def pick(avoid: frozenset[str]) -> str | None:
@@ -291,7 +291,7 @@
         self, incoming: IncomingRequest, rank: float
     ) -> str | CallResult:
         try:
-            self._mint.read(incoming.key)
+            self._mint.parse(incoming.key)
         except TicketError:
             return await self._assign_ticket(incoming, rank)
         return incoming.key
@@ -321,7 +321,7 @@
             return result
 
     async def _run_with_ticket(self, job: CallJob) -> CallResult:
-        ticket = self._mint.read(job.key)
+        ticket = self._mint.parse(job.key)
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
@@ -339,7 +339,7 @@
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
             return result
         try:
-            ticket = self._mint.read(incoming.key)
+            ticket = self._mint.parse(incoming.key)
         except TicketError:
             result.outcome = Outcome.UNKNOWN
             return result
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
@@ -5,7 +5,7 @@
 Only the repeated attempt is known not to have been sent.
 """
 
-from rattanfork_core.account import Account
+from rattanfork_core.budgets import RequestBudget
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance, Outcome, SendCall
 from rattanfork_node.call_ingress.dispatcher import CallJob, _replaced_instance_result
@@ -14,7 +14,7 @@
 
 
 def job(key: str, key_is_new: bool) -> CallJob:
-    account = Account(ManualClock(), 1.0, 1)
+    account = RequestBudget(ManualClock(), 1.0, 1)
     return CallJob(
         None, account, Importance.HIGH, 1.5, False, key, "", key_is_new=key_is_new
     )
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
@@ -4,7 +4,7 @@
 from rattanfork_core.request import Importance
 from rattanfork_core.rules import load_rules
 from rattanfork_core.settings import RequestSettings
-from rattanfork_node.call_ingress import CallerBook, IncomingRequest, select_policy
+from rattanfork_node.call_ingress import CallerTable, IncomingRequest, select_policy
 
 RULES = load_rules(
     """
@@ -60,15 +60,15 @@
 
 
 def test_request_id_of_another_caller_is_refused():
-    callers = CallerBook(ManualClock())
-    seen = [callers.arrive("r", caller) for caller in ("ann", "ann", "bob")]
+    callers = CallerTable(ManualClock())
+    seen = [callers.count_attempt("r", caller) for caller in ("ann", "ann", "bob")]
     assert seen == [1, 2, None]
 
 
 def test_memory_of_callers_is_bounded():
-    callers = CallerBook(ManualClock(), most=10)
+    callers = CallerTable(ManualClock(), most=10)
     for i in range(100):
-        callers.arrive(f"r{i}", "ann")
-        callers.budget(f"caller:{i}")
-        callers.limit("rule", f"{i}", 1.0)
-    assert callers.arrive("r0", "bob") == 1
+        callers.count_attempt(f"r{i}", "ann")
+        callers.retry_budget(f"caller:{i}")
+        callers.rate_limit("rule", f"{i}", 1.0)
+    assert callers.count_attempt("r0", "bob") == 1
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -6,12 +6,12 @@
 
 from dataclasses import dataclass
 
-from rattanfork_core.account.callers import CallerBook
+from rattanfork_core.budgets.caller_table import CallerTable
 from rattanfork_core.client_accounts import ClientAccount
 from rattanfork_core.clock import Clock
 from rattanfork_core.request import Reason
 from rattanfork_core.routes import Route
-from rattanfork_core.rules import RuleSet, facts_of_route, rule_on
+from rattanfork_core.rules import RuleSet, apply_rule, route_facts
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
     def __init__(self, clock: Clock, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._caller_limits = CallerBook(clock)
+        self._caller_limits = CallerTable(clock)
 
     def evaluate(
         self,
@@ -71,17 +71,17 @@
     ) -> RuleDecision:
         """Return the decision on a request."""
         priority = None if account is None else account.priority
-        facts = facts_of_route(
+        facts = route_facts(
             route, service, method, caller, self._data_centre, load, priority
         )
         matched = rules.first_match(facts)
-        effect = rule_on(route, matched)
+        effect = apply_rule(route, matched)
         refusal, retry_after = None, 0.0
         if effect.refuse_after is not None:
             refusal, retry_after = Reason.RULE, effect.refuse_after
         elif matched is not None and matched.action.rate is not None:
             limited_caller = caller if matched.action.rate_per_caller else ""
-            limit = self._caller_limits.limit(
+            limit = self._caller_limits.rate_limit(
                 matched.name, limited_caller, matched.action.rate
             )
             if not limit.take():
