--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -318,7 +318,9 @@
                 )
             succeeded = True
             self._consecutive_refusals = 0
-            self._downstream_thresholds.update(request.operation, "", context.downstream_threshold)
+            self._downstream_thresholds.update(
+                request.operation, "", context.downstream_threshold
+            )
             result = answered_result(context, response)
         except asyncio.CancelledError:
             self._counters.events["cancelled.running"] += 1
