--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -157,7 +157,7 @@
 class FakeLink:
     """A link to a peer node that is played by the test."""
 
-    connection = "c1"
+    connection_id = "c1"
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
@@ -169,7 +169,7 @@
         self.number += 1
         return self.number
 
-    def run(self, run, done) -> None:
+    def send_run(self, run, done) -> None:
         self.runs.append((run, done))
 
     def send(self, message) -> None:
@@ -201,7 +201,7 @@
         self.verdicts: list = []
         self.fenced: list = []
 
-    def ready(self, member) -> FakeLink | None:
+    def ready_link(self, member) -> FakeLink | None:
         return self.links.get(member.name)
 
     async def open(self, address) -> FakeLink:
