--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -356,7 +356,7 @@
             "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
             "edge.in_flight": self._edge.in_flight,
-            "keys.remembered": self._guard.ledger.key_count,
+            "keys.remembered": self._guard.key_registry.key_count,
             "members.present": len(self._membership.present()),
             "peers.connected": self._pool.connected,
             "peers.silent": self._pool.silent_closed,
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -87,7 +87,7 @@
 
     def on_epoch(self, link: PeerLink, request: EpochRequest) -> None:
         """Reply with the guard's epoch of keys."""
-        link.send(EpochReply(request.number, self._guard.ledger.epoch))
+        link.send(EpochReply(request.number, self._guard.key_registry.epoch))
 
     def on_closed(self, link: PeerLink) -> None:
         """Stop the calls of a connection that is gone."""
@@ -138,5 +138,5 @@
             result.retry_elsewhere,
             int(result.retry_after * 1000),
             self._guard.threshold(call.operation),
-            self._guard.ledger.epoch,
+            self._guard.key_registry.epoch,
         )
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -128,7 +128,7 @@
         return self._admission
 
     @property
-    def ledger(self) -> KeyRegistry:
+    def key_registry(self) -> KeyRegistry:
         """The ledger of idempotency keys."""
         return self._ledger
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
@@ -80,7 +80,7 @@
 
     async def _current_epoch(self, member: Member) -> int | None:
         if member.name == self._own_name:
-            return self._gate.ledger.epoch
+            return self._gate.key_registry.epoch
         epoch = self._epochs.epoch(member.name)
         if epoch is not None:
             return epoch
