--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -69,7 +69,7 @@
     only component that can prove that a request was not run.  It queues and
     sheds requests, runs a request with an idempotency key at most once, cancels
     runs and drains.  The decisions are those of the core's
-    :class:`AdmissionController` and :class:`RunLedger`.
+    :class:`AdmissionController` and :class:`KeyRegistry`.
 
     The route path has its own gate, :class:`rattanfork_node.relay.Gate`.
 
@@ -80,7 +80,7 @@
         Source of the current time.
     instance, boot : str
         Name of the instance, and ID of this incarnation of its gate.
-    mint : TicketIssuer
+    ticket_issuer : TicketIssuer
         Decodes idempotency keys.
     admission : AdmissionSettings
         Bounds of the queue and of the concurrency limit.
@@ -95,17 +95,17 @@
         clock: Clock,
         instance: str,
         boot: str,
-        mint: TicketIssuer,
+        ticket_issuer: TicketIssuer,
         admission: AdmissionSettings,
         counters: Counters,
         random: Random,
     ) -> None:
         self._clock = clock
         self._boot = boot
-        self._ticket_mint = mint
+        self._ticket_issuer = ticket_issuer
         self._settings = admission
         self._admission = AdmissionController(clock, admission)
-        self._ledger = KeyRegistry(clock, instance, boot)
+        self._key_registry = KeyRegistry(clock, instance, boot)
         self._downstream_thresholds = ThresholdCache(clock)
         self._counters = counters
         self._random = random
@@ -129,8 +129,8 @@
 
     @property
     def key_registry(self) -> KeyRegistry:
-        """The ledger of idempotency keys."""
-        return self._ledger
+        """The registry of idempotency keys."""
+        return self._key_registry
 
     @property
     def outstanding(self) -> int:
@@ -169,15 +169,15 @@
     def fence_key(self, key: str) -> FenceVerdict:
         """Fence a key: it is no longer handed to the upstream."""
         try:
-            ticket = self._ticket_mint.parse(key)
+            ticket = self._ticket_issuer.parse(key)
         except TicketError:
             return FenceVerdict.UNKNOWN
-        return self._ledger.fence(key, ticket)
+        return self._key_registry.fence(key, ticket)
 
     async def run(self, request: GateRequest) -> CallResult:
         """Run a request; return its response or the reason why there is none."""
         if request.key:
-            # A result holds for all requests with the key, so the ledger must
+            # A result holds for all requests with the key, so the registry must
             # be consulted before any refusal.
             result = await self._run_keyed(request)
         elif request.boot != self._boot:
@@ -194,11 +194,13 @@
 
     async def _run_keyed(self, request: GateRequest) -> CallResult:
         try:
-            ticket = self._ticket_mint.parse(request.key)
+            ticket = self._ticket_issuer.parse(request.key)
         except TicketError:
             return self._refusal(request, Reason.BAD_REQUEST)
         digest = hash64(f"{request.method} {request.path}") ^ hash64(request.body.hex())
-        verdict = self._ledger.on_request(request.key, ticket, request.caller, digest)
+        verdict = self._key_registry.on_request(
+            request.key, ticket, request.caller, digest
+        )
         if isinstance(verdict, RefuseKey):
             return CallResult(verdict.outcome, verdict.reason)
         if isinstance(verdict, AlreadyAnswered):
@@ -221,7 +223,7 @@
             self._keyed_tasks.discard(task)
             self._result_futures.pop(request.key, None)
             if task.cancelled() or task.exception() is not None:
-                self._ledger.on_connection_lost(record)
+                self._key_registry.on_connection_lost(record)
                 result = CallResult(Outcome.UNKNOWN, Reason.CANCELLED)
             else:
                 result = task.result()
@@ -232,7 +234,7 @@
         try:
             return await asyncio.shield(future)
         except asyncio.CancelledError:
-            if self._ledger.refuse(record):
+            if self._key_registry.refuse(record):
                 task.cancel()
             raise
 
@@ -270,7 +272,7 @@
             return self._refusal(request, Reason.NO_INSTANCE, record)
         allowed = request.may_hand_over()
         if allowed and record is not None:
-            allowed = self._ledger.hand_over(record)
+            allowed = self._key_registry.hand_over(record)
         if not allowed:
             self._apply_decisions(self._admission.finish(waiter.key, succeeded=False))
             return self._refusal(request, Reason.FENCED, record)
@@ -334,7 +336,7 @@
                 self._counters.events["cancelled.children"] += cancelled
             self._apply_decisions(self._admission.finish(waiter.key, succeeded))
         if record is not None and result.outcome is Outcome.ANSWERED:
-            self._ledger.store_answer(record, result)
+            self._key_registry.store_answer(record, result)
         return result
 
     def _failure_result(
@@ -342,9 +344,9 @@
     ) -> CallResult:
         if isinstance(error, UpstreamConnectError | UpstreamShedError):
             # Nothing was sent, or the upstream reports that it did not run the
-            # request, so the hand-over recorded in the ledger is withdrawn.
+            # request, so its registered hand-over is cancelled.
             if record is not None:
-                self._ledger.cancel_hand_over(record)
+                self._key_registry.cancel_hand_over(record)
             shed = isinstance(error, UpstreamShedError)
             self._consecutive_refusals += not shed
             if shed:
@@ -352,7 +354,7 @@
             reason = Reason.SHED if shed else Reason.UPSTREAM_DOWN
             return self._refusal(request, reason)
         if record is not None:
-            self._ledger.on_connection_lost(record)
+            self._key_registry.on_connection_lost(record)
         if isinstance(error, TimeoutError):
             return CallResult(Outcome.UNKNOWN, Reason.DEADLINE)
         if isinstance(error, ResponseTooLargeError):
@@ -369,7 +371,7 @@
     def _refusal(
         self, request: GateRequest, reason: Reason, record: RunRecord | None = None
     ) -> CallResult:
-        if record is not None and not self._ledger.refuse(record):
+        if record is not None and not self._key_registry.refuse(record):
             return CallResult(Outcome.UNKNOWN, reason)
         base = self._settings.retry_after
         return CallResult(
--- a/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
@@ -39,16 +39,16 @@
 
 def check_queued_request_is_not_run(make_key) -> None:
     async def run() -> None:
-        mint = TicketIssuer(b"key", Random(1))
+        issuer = TicketIssuer(b"key", Random(1))
         settings = AdmissionSettings(slots=1, warmup=0)
         gate = CallGate(
-            MonotonicClock(), "w", "b", mint, settings, Counters(), Random(1)
+            MonotonicClock(), "w", "b", issuer, settings, Counters(), Random(1)
         )
         upstream = BlockingUpstream()
         gate.attach(upstream)
         first = asyncio.ensure_future(gate.run(request()))
         await asyncio.sleep(0)
-        key = make_key(mint, gate)
+        key = make_key(issuer, gate)
         second = asyncio.ensure_future(gate.run(request(key)))
         for _ in range(5):
             await asyncio.sleep(0)
@@ -64,10 +64,10 @@
 
 
 def test_queued_request_is_refused_when_upstream_detaches():
-    check_queued_request_is_not_run(lambda mint, gate: "")
+    check_queued_request_is_not_run(lambda issuer, gate: "")
 
 
 def test_queued_request_with_key_is_refused_when_upstream_detaches():
     check_queued_request_is_not_run(
-        lambda mint, gate: mint.issue("s", "w", "b", gate.ledger.epoch)
+        lambda issuer, gate: issuer.issue("s", "w", "b", gate.key_registry.epoch)
     )
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -67,7 +67,7 @@
         dispatcher: Dispatcher,
         gate: CallGate,
         thresholds: ThresholdCache,
-        mint: TicketIssuer,
+        ticket_issuer: TicketIssuer,
         counters: Counters,
         burn: BurnMeter,
         key_issuer: KeyIssuer,
@@ -82,7 +82,7 @@
         self._dispatcher = dispatcher
         self._gate = gate
         self._thresholds = thresholds
-        self._mint = mint
+        self._ticket_issuer = ticket_issuer
         self._counters = counters
         self._burn = burn
         self._key_issuer = key_issuer
@@ -291,7 +291,7 @@
         self, incoming: IncomingRequest, rank: float
     ) -> str | CallResult:
         try:
-            self._mint.parse(incoming.key)
+            self._ticket_issuer.parse(incoming.key)
         except TicketError:
             return await self._assign_ticket(incoming, rank)
         return incoming.key
@@ -321,7 +321,7 @@
             return result
 
     async def _run_with_ticket(self, job: CallJob) -> CallResult:
-        ticket = self._mint.parse(job.key)
+        ticket = self._ticket_issuer.parse(job.key)
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
@@ -339,7 +339,7 @@
         if not incoming.key or result.reason is Reason.BAD_REQUEST:
             return result
         try:
-            ticket = self._mint.parse(incoming.key)
+            ticket = self._ticket_issuer.parse(incoming.key)
         except TicketError:
             result.outcome = Outcome.UNKNOWN
             return result
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/key_issuer.py
@@ -19,7 +19,7 @@
     Parameters
     ==========
 
-    mint : TicketIssuer
+    ticket_issuer : TicketIssuer
         Creates the keys.
     directory : InstanceDirectory
         Members by the service that they serve.
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        mint: TicketIssuer,
+        ticket_issuer: TicketIssuer,
         directory: InstanceDirectory,
         pool: PeerPool,
         gate: CallGate,
         own_name: str,
         epochs: EpochCache,
     ) -> None:
-        self._mint = mint
+        self._ticket_issuer = ticket_issuer
         self._directory = directory
         self._pool = pool
         self._gate = gate
@@ -94,4 +94,6 @@
         return epoch
 
     def _issue_in_epoch(self, member: Member, epoch: int) -> str:
-        return self._mint.issue(member.service, member.instance, member.boot, epoch)
+        return self._ticket_issuer.issue(
+            member.service, member.instance, member.boot, epoch
+        )
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -25,17 +25,17 @@
     from rattanfork_node.peer.link import PeerLink
     from rattanfork_node.telemetry import Counters
 
-#: Maximum ledgers kept, those of closed connections included.
-_MAX_LEDGERS = 2000
+#: Maximum call logs kept, those of closed connections included.
+_MAX_CALL_LOGS = 2000
 
 
 class BasePeerHandler(PeerHandler):
-    """Keeps a ledger per connection, and answers requests for rules and members.
+    """Keeps a call log per connection; answers requests for rules and members.
 
     Explanation
     ===========
 
-    The ledger records which requests of a connection were handed to the upstream.
+    The call log has the requests of a connection that were handed to the upstream.
     It is kept after the connection is closed, because the peer asks over a new
     connection whether the requests that it lost were run.
 
@@ -51,7 +51,7 @@
     def __init__(self, rules: RevisionState, counters: Counters) -> None:
         self._rules = rules
         self._counters = counters
-        self._ledgers: OrderedDict[str, ConnectionCallLog] = OrderedDict()
+        self._call_logs: OrderedDict[str, ConnectionCallLog] = OrderedDict()
         self._links: set[PeerLink] = set()
         self._gossip_task: GossipTask | None = None
 
@@ -65,15 +65,15 @@
         return self._links
 
     def on_open(self, link: PeerLink) -> None:
-        """Register an authenticated connection and create its ledger."""
-        if link.connection_id in self._ledgers:
+        """Register an authenticated connection and create its call log."""
+        if link.connection_id in self._call_logs:
             raise FrameError("the connection ID is already in use")
         self._links.add(link)
-        self._ledgers[link.connection_id] = ConnectionCallLog()
-        if len(self._ledgers) > _MAX_LEDGERS:
+        self._call_logs[link.connection_id] = ConnectionCallLog()
+        if len(self._call_logs) > _MAX_CALL_LOGS:
             # A fence for an evicted connection is answered "unknown", never
             # "not run".
-            self._ledgers.popitem(last=False)
+            self._call_logs.popitem(last=False)
 
     def on_rules(self, link: PeerLink, request: RulesRequest) -> None:
         """Reply with the cached rules."""
@@ -85,7 +85,7 @@
         link.send(SyncReply(request.number, members))
 
     def on_closed(self, link: PeerLink) -> None:
-        """Remove a closed connection; its ledger is kept."""
+        """Remove a closed connection; its call log is kept."""
         self._links.discard(link)
 
     def on_bad_frame(self, reason: str) -> None:
@@ -93,7 +93,7 @@
         self._counters.events["peer.bad-frame"] += 1
 
     def register_request(self, link: PeerLink, number: int) -> ConnectionCallLog:
-        """Record the arrival of a request, and return its connection's ledger.
+        """Record the arrival of a request, and return its connection's call log.
 
         Raises
         ======
@@ -101,14 +101,14 @@
         FrameError
             If the number was used before on this connection.
         """
-        ledger = self._ledgers.get(link.connection_id)
-        if ledger is None or not ledger.accept(number):
+        call_log = self._call_logs.get(link.connection_id)
+        if call_log is None or not call_log.accept(number):
             raise FrameError("the request number is already in use")
-        return ledger
+        return call_log
 
     def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
         """Fence a connection; return verdicts on the requests that are listed."""
-        ledger = self._ledgers.get(fence.connection_id)
-        if ledger is None:
+        call_log = self._call_logs.get(fence.connection_id)
+        if call_log is None:
             return [FenceVerdict.UNKNOWN] * len(fence.calls)
-        return ledger.fence(fence.calls)
+        return call_log.fence(fence.calls)
