--- a/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/exchange.py
@@ -17,7 +17,7 @@
     """Return the context that the child calls of a run inherit.
 
     The upstream names the run by the token in its child calls.  The token is
-    random, so nobody else can spend the retries of the run's account.
+    random, so nobody else can spend the retries of the run's budget.
     """
     return RunContext(
         os.urandom(_CONTEXT_TOKEN_BYTES).hex(),
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -48,6 +48,7 @@
 )
 from rattanfork_node.telemetry import Counters
 
+#: Reasons of a refusal that don't hold for other instances.
 _RETRY_ELSEWHERE_REASONS = frozenset(
     (
         Reason.LEAVING,
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -48,6 +48,8 @@
     Parameters
     ==========
 
+    account : RequestBudget
+        Deadline, and retries left.
     key : str
         Idempotency key (a ticket), or "".
     threshold_key : str
--- a/packages/rattanfork-node/rattanfork_node/edge/server.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/server.py
@@ -16,8 +16,11 @@
 from rattanfork_node.telemetry import Counters, counting_logger
 from rattanfork_node.telemetry.metrics import Metrics
 
+#: Path of requests for idempotency keys.
 _KEYS_PATH = "/rattanfork/keys"
+#: Maximum keys issued for one request.
 _MAX_KEYS = 100
+#: Maximum size of the request line and of a header field.
 _MAX_LINE_BYTES = 16_384
 
 
--- a/packages/rattanfork-node/rattanfork_node/peer/handshake.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/handshake.py
@@ -11,10 +11,10 @@
 
 
 def make_proof(
-    key: bytes, role: bytes, first: bytes, second: bytes, node: str
+    key: bytes, role: bytes, first_nonce: bytes, second_nonce: bytes, node: str
 ) -> bytes:
     """Return the HMAC by which a node proves the key, bound to these nonces."""
-    text = b"|".join((role, first, second, node.encode()))
+    text = b"|".join((role, first_nonce, second_nonce, node.encode()))
     return hmac.digest(key, text, "sha256")
 
 
--- a/packages/rattanfork-node/rattanfork_node/peer/link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/link.py
@@ -357,8 +357,10 @@
         else:
             raise FrameError("message not valid during the handshake")
 
-    def _proof(self, role: bytes, first: bytes, second: bytes, node: str) -> bytes:
-        return make_proof(self._key, role, first, second, node)
+    def _proof(
+        self, role: bytes, first_nonce: bytes, second_nonce: bytes, node: str
+    ) -> bytes:
+        return make_proof(self._key, role, first_nonce, second_nonce, node)
 
     def _complete_handshake(self) -> None:
         self._authenticated = True
