--- a/packages/rattanfork-node/rattanfork_node/app/account_parts.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -15,7 +15,7 @@
 from rattanfork_node.telemetry import Counters
 
 
-class AccountParts:
+class ClientAccountTasks:
     """Client accounts, the proof that their keys hold, and their quotas.
 
     Parameters
--- a/packages/rattanfork-node/rattanfork_node/app/metrics_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/app/metrics_handler.py
@@ -38,11 +38,11 @@
     def on_request(self, exchange: Exchange) -> None:
         """Answer."""
         if exchange.path != PATH:
-            exchange.answer(404)
+            exchange.respond(404)
             return
         # Imported here: 3.5 MB and 0.06 s of processor that only nodes which
         # are asked have to spend.
-        from rattanfork_node.telemetry.scrape import TEXT_TYPE, render_metrics
+        from rattanfork_node.telemetry.prometheus import CONTENT_TYPE, render_metrics
 
         body = render_metrics(self._counters, self._gauges, self._objectives)
-        exchange.answer(200, b"Content-Type: " + TEXT_TYPE + b"\r\n", body)
+        exchange.respond(200, b"Content-Type: " + CONTENT_TYPE + b"\r\n", body)
--- a/packages/rattanfork-node/rattanfork_node/app/prober.py
+++ b/packages/rattanfork-node/rattanfork_node/app/prober.py
@@ -9,7 +9,7 @@
 _PROBE_TIMEOUT = 1.0
 
 
-class Prober:
+class UpstreamProber:
     """Asks the upstream beside this node for its ID.
 
     Explanation
@@ -39,7 +39,7 @@
     async def ask(self, path: str) -> str | None:
         """Return the ID of an upstream that is healthy and stays, or None."""
         try:
-            answer = await self._client.ask(
+            answer = await self._client.request(
                 b"GET", path.encode(), timeout=_PROBE_TIMEOUT
             )
         except (ConnectionError, TimeoutError, OSError):
--- a/packages/rattanfork-node/rattanfork_node/app/readiness.py
+++ b/packages/rattanfork-node/rattanfork_node/app/readiness.py
@@ -21,4 +21,4 @@
 
     def on_request(self, exchange: Exchange) -> None:
         """Answer."""
-        exchange.answer(200 if self._is_ready() else 503)
+        exchange.respond(200 if self._is_ready() else 503)
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -22,15 +22,15 @@
 from rattanfork_core.trace import LineBudget
 from rattanfork_platform import WatchedPlatform
 
-from rattanfork_node.app.account_parts import AccountParts
+from rattanfork_node.app.account_tasks import ClientAccountTasks
 from rattanfork_node.app.metrics_handler import MetricsHandler
-from rattanfork_node.app.observer import Observer
-from rattanfork_node.app.prober import Prober
+from rattanfork_node.app.prober import UpstreamProber
 from rattanfork_node.app.readiness import ReadinessHandler
 from rattanfork_node.app.relay_settings import RelayNodeSettings
 from rattanfork_node.app.shutdown import Shutdown
+from rattanfork_node.app.state_reporter import StateReporter
 from rattanfork_node.app.store_tasks import StoreTasks
-from rattanfork_node.app.upstream_keeper import UpstreamKeeper
+from rattanfork_node.app.upstream_monitor import UpstreamMonitor
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.http1 import HttpServer, RequestLimits
 from rattanfork_node.http1.handler import RequestHandler
@@ -68,10 +68,10 @@
 _LOCAL_LOAD = 0.85
 #: Data centres whose word on the rules replaces the store's: one alone may have
 #: been cut off when the last change was accepted.
-_WORDS_NEEDED = 2
+_RULES_QUORUM = 2
 #: News is pushed to this many members at once.  In a small fleet that is
 #: most of them, so a change is known within a tenth of a second.
-_PUSHES = 8
+_PUSH_FANOUT = 8
 
 
 class RelayNode:
@@ -139,7 +139,7 @@
         return known and held and not self._draining.is_set()
 
     @property
-    def upstream(self) -> UpstreamKeeper:
+    def upstream_monitor(self) -> UpstreamMonitor:
         """Takes what the upstream says of itself."""
         return self._keeper
 
@@ -151,10 +151,10 @@
         """
         log_change("reload", outcome="settings hold until the next start")
 
-    def note_malformed(self, what: str, **fields: object) -> None:
+    def record_malformed(self, what: str, **fields: object) -> None:
         """Count what another writer has sent, and tell of it within the budget."""
         self._counters.events[f"{what}.malformed"] += 1
-        if self._log.wants(b"", plain=False):
+        if self._log.should_log(b"", plain=False):
             self._log.write(f"{what}_malformed", b"", fields)
 
     def _make_parts(self, decode: Callable[[bytes], Configuration]) -> None:
@@ -174,13 +174,13 @@
             ready=False,
         )
         self._configuration = ConfigurationHolder(decode)
-        self._rules = RevisionState(min(_WORDS_NEEDED, settings.data_centres))
+        self._rules = RevisionState(min(_RULES_QUORUM, settings.data_centres))
         self._configuration.on_change = self._on_configuration
         self._membership = Membership(
             self._clock,
             self._random,
             me,
-            MembershipSettings(push_fanout=_PUSHES, push_interval=_TICK),
+            MembershipSettings(push_fanout=_PUSH_FANOUT, push_interval=_TICK),
         )
         self._reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
@@ -261,7 +261,7 @@
             self._quarantine_task.persist_all,
             self._lease,
         )
-        self._account_parts = AccountParts(
+        self._account_parts = ClientAccountTasks(
             self._random,
             settings.relay,
             self._configuration,
@@ -271,7 +271,7 @@
             self._store,
             self._counters,
         )
-        self._prober = Prober(self._clock, *settings.upstream, settings.names)
+        self._prober = UpstreamProber(self._clock, *settings.upstream, settings.names)
 
     def _make_servers(
         self, announcement_handler: Callable[["RelayNode"], RequestHandler]
@@ -297,7 +297,7 @@
             self._quarantine,
             self._account_parts.accounts,
         )
-        self._observer = Observer(
+        self._observer = StateReporter(
             self._clock,
             self._log,
             self._counters,
@@ -310,7 +310,7 @@
             lambda: self._store.confirmed_age,
             lambda: self.ready,
         )
-        self._keeper = UpstreamKeeper(
+        self._keeper = UpstreamMonitor(
             self._clock,
             self._gate,
             self._membership,
--- a/packages/rattanfork-node/rattanfork_node/app/observer.py
+++ b/packages/rattanfork-node/rattanfork_node/app/state_reporter.py
@@ -14,7 +14,7 @@
 from rattanfork_node.telemetry import Counters, RequestLog, log_change
 
 
-class Observer:
+class StateReporter:
     """Reads a node's state for its log and its metrics.
 
     Parameters
@@ -81,7 +81,7 @@
         unknown_and_gone = before is None and member.status == MemberStatus.DEAD
         if unknown_and_gone or member.name == self._membership.me.name:
             return
-        if self._log.wants(b"", plain=False):
+        if self._log.should_log(b"", plain=False):
             fields = {
                 "member": member.name,
                 "service": member.service,
@@ -107,7 +107,7 @@
             waiting=self._gate.waiting,
             cut=round(self._gate.own_threshold, 3),
             members=len(self._membership.present()),
-            lines_left_out=self._log.left_out(),
+            lines_left_out=self._log.take_left_out(),
         )
 
     def _store_pending(self) -> list[dict[str, object]]:
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_keeper.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
@@ -9,7 +9,7 @@
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.membership import Membership
 from rattanfork_core.routes import Configuration, ServiceConfig
-from rattanfork_node.app.upstream_keeper import UpstreamKeeper
+from rattanfork_node.app.upstream_monitor import UpstreamMonitor
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.config.tests.fakes import member
 from rattanfork_node.relay.tests.fakes import GateHarness
@@ -43,7 +43,7 @@
         )
         holder.offer(b"-")
         self.membership = Membership(self.clock, Random(1), member("me"))
-        self.keeper = UpstreamKeeper(
+        self.keeper = UpstreamMonitor(
             self.clock,
             self.gate,
             self.membership,
--- a/packages/rattanfork-node/rattanfork_node/app/upstream_keeper.py
+++ b/packages/rattanfork-node/rattanfork_node/app/upstream_monitor.py
@@ -6,7 +6,7 @@
 from rattanfork_core.clock import Clock
 from rattanfork_core.membership import Membership
 
-from rattanfork_node.app.prober import Prober
+from rattanfork_node.app.prober import UpstreamProber
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.relay import Gate
 from rattanfork_node.relay.upstream import Upstream
@@ -20,7 +20,7 @@
 _PROBE_PAUSE = 0.4
 
 
-class UpstreamKeeper:
+class UpstreamMonitor:
     """Attaches the upstream that announces itself, and lets go of one that leaves.
 
     Explanation
@@ -59,7 +59,7 @@
         gate: Gate,
         membership: Membership,
         configuration: ConfigurationHolder,
-        prober: Prober,
+        prober: UpstreamProber,
         service: str,
         address: tuple[str, int],
         counters: Counters,
--- a/packages/rattanfork-node/rattanfork_node/http1/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/__init__.py
@@ -13,10 +13,10 @@
 from rattanfork_node.http1.headers import HeaderNames
 from rattanfork_node.http1.limits import RequestLimits
 from rattanfork_node.http1.pool import UpstreamPool
-from rattanfork_node.http1.render import render_answer, render_head
+from rattanfork_node.http1.render import render_head, render_response
 from rattanfork_node.http1.server import HttpServer
 from rattanfork_node.http1.server_connection import ServerConnection
-from rattanfork_node.http1.upstream import UpstreamAnswer, UpstreamConnection
+from rattanfork_node.http1.upstream import UpstreamConnection, UpstreamResponse
 
 __all__ = [
     "Exchange",
@@ -26,10 +26,10 @@
     "RequestHandler",
     "RequestLimits",
     "ServerConnection",
-    "UpstreamAnswer",
+    "UpstreamResponse",
     "UpstreamConnection",
     "UpstreamPool",
     "fingerprint_of",
-    "render_answer",
+    "render_response",
     "render_head",
 ]
--- a/packages/rattanfork-node/rattanfork_node/http1/client.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/client.py
@@ -10,7 +10,7 @@
 
 from rattanfork_node.http1.pool import UpstreamPool
 from rattanfork_node.http1.render import render_head
-from rattanfork_node.http1.upstream import UpstreamAnswer, UpstreamConnection
+from rattanfork_node.http1.upstream import UpstreamConnection, UpstreamResponse
 
 #: Connections at most; a node asks little at a time.
 _MOST_CONNECTIONS = 8
@@ -34,7 +34,7 @@
 
     target: bytes
     since: float
-    rested: float | None = None
+    connection_idle: float | None = None
 
 
 class HttpClient:
@@ -54,27 +54,31 @@
     """
 
     def __init__(
-        self, clock: Clock, host: str, port: int, noted: frozenset[bytes] = frozenset()
+        self,
+        clock: Clock,
+        host: str,
+        port: int,
+        captured: frozenset[bytes] = frozenset(),
     ) -> None:
         self._clock = clock
         self._pending: dict[int, PendingRequest] = {}
         self._numbers = count()
         self._host_line = f"Host: {host}:{port}\r\n".encode()
-        self._pool = UpstreamPool(clock, host, port, _MOST_CONNECTIONS, b"-", noted)
+        self._pool = UpstreamPool(clock, host, port, _MOST_CONNECTIONS, b"-", captured)
 
     @property
     def pending(self) -> tuple[PendingRequest, ...]:
         """Requests without an answer so far, the oldest first."""
         return tuple(self._pending.values())
 
-    async def ask(
+    async def request(
         self,
         method: bytes,
         target: bytes,
         body: bytes = b"",
         timeout: float = 1.0,
         block: bytes = b"",
-    ) -> UpstreamAnswer:
+    ) -> UpstreamResponse:
         """Return the answer to a request.
 
         Raises
@@ -118,12 +122,12 @@
         body: bytes,
         block: bytes,
         pending: PendingRequest,
-    ) -> UpstreamAnswer | None:
+    ) -> UpstreamResponse | None:
         connection = await self._connection()
-        pending.rested = self._clock.now() - connection.idle_since
+        pending.connection_idle = self._clock.now() - connection.idle_since
         answered = asyncio.get_running_loop().create_future()
 
-        def done(answer: UpstreamAnswer | None) -> None:
+        def done(answer: UpstreamResponse | None) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
@@ -144,7 +148,7 @@
             if not taken.done():
                 taken.set_result(connection)
             elif connection is not None:
-                self._pool.give_back(connection)
+                self._pool.release(connection)
 
         self._pool.acquire(take)
         connection = await taken
--- a/packages/rattanfork-node/rattanfork_node/http1/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/exchange.py
@@ -38,7 +38,7 @@
     __slots__ = (
         "account",
         "answered",
-        "block",
+        "header_block",
         "body",
         "connection",
         "granted_at",
@@ -46,12 +46,12 @@
         "keep_alive",
         "keys",
         "method",
-        "on_gone",
+        "on_disconnect",
         "output",
         "request_id",
         "target",
-        "wait",
-        "waited",
+        "client_timeout",
+        "quota_delay",
     )
 
     def __init__(
@@ -71,10 +71,10 @@
         self.method = method
         self.target = target
         self.host = host
-        self.block = block
+        self.header_block = block
         self.body = body
         self.request_id = request_id
-        self.wait = wait
+        self.client_timeout = wait
         self.keep_alive = keep_alive
         self.keys = keys
         #: The client account that sends it; None until it is told, or without one.
@@ -82,11 +82,11 @@
         #: When a quota let it in; None if none did.
         self.granted_at: float | None = None
         #: Seconds that it has waited before it was let in.
-        self.waited = 0.0
+        self.quota_delay = 0.0
         self.answered = False
         self.output: tuple[int, bytes, bytes] | None = None
         #: Called once if the client leaves before it has its answer.
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     @property
     def path(self) -> str:
@@ -102,10 +102,10 @@
     def fingerprint(self) -> int:
         """What the request asks for, the same for all attempts at it."""
         return fingerprint_of(
-            self.method, self.target, self.block, self.body, self.account_name
+            self.method, self.target, self.header_block, self.body, self.account_name
         )
 
-    def answer(self, status: int, block: bytes = b"", body: bytes = b"") -> None:
+    def respond(self, status: int, block: bytes = b"", body: bytes = b"") -> None:
         """Give the final answer; later calls do nothing.
 
         Parameters
@@ -122,6 +122,6 @@
         if self.answered:
             return
         self.answered = True
-        self.on_gone = None
+        self.on_disconnect = None
         self.output = (status, block, body)
-        self.connection.flush_answers()
+        self.connection.flush_responses()
--- a/packages/rattanfork-node/rattanfork_node/http1/headers.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/headers.py
@@ -4,7 +4,7 @@
 
 #: Headers that concern one connection only (RFC 9110, section 7.6.1), and
 #: those that are written anew for each message.
-PER_CONNECTION = frozenset(
+NOT_FORWARDED = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -61,7 +61,7 @@
     not_run: bytes = b"Rattanfork-Not-Run"
     upstream: bytes = b"Rattanfork-Upstream"
 
-    def dropped_from_requests(self) -> frozenset[bytes]:
+    def stripped_from_requests(self) -> frozenset[bytes]:
         """Return lower-case names that are not forwarded as they came."""
         own = (
             self.deadline,
@@ -70,4 +70,4 @@
             self.caller,
             self.expected_upstream,
         )
-        return PER_CONNECTION | {name.lower() for name in own}
+        return NOT_FORWARDED | {name.lower() for name in own}
--- a/packages/rattanfork-node/rattanfork_node/http1/limits.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/limits.py
@@ -20,7 +20,7 @@
         Seconds for which a connection may stay open without a request.
     """
 
-    head_bytes: int = 16_384
-    body_bytes: int = 16 << 20
+    max_head_bytes: int = 16_384
+    max_body_bytes: int = 16 << 20
     head_timeout: float = 3.0
     idle_timeout: float = 15.0
--- a/packages/rattanfork-node/rattanfork_node/http1/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/pool.py
@@ -37,15 +37,15 @@
         clock: Clock,
         host: str,
         port: int,
-        most: int,
+        max_connections: int,
         id_name: bytes,
-        noted: frozenset[bytes],
+        captured: frozenset[bytes],
     ) -> None:
         self._clock = clock
         self._address = (host, port)
-        self._most = most
+        self._most = max_connections
         self._id_name = id_name.lower()
-        self._noted = noted
+        self._noted = captured
         self._idle: list[UpstreamConnection] = []
         self._open: set[UpstreamConnection] = set()
         self._connecting: set[asyncio.Task] = set()
@@ -58,21 +58,21 @@
         return self._address
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Connections that are open."""
         return len(self._open)
 
     def acquire(
         self,
         taken: Callable[[UpstreamConnection | None], None],
-        repeatable: bool = True,
+        retryable: bool = True,
     ) -> None:
         """Find a connection; ``taken`` gets it, or None if there is none.
 
-        It is called at once if one is idle.  What is not ``repeatable`` gets a
+        It is called at once if one is idle.  What is not ``retryable`` gets a
         connection that has hardly rested, or a new one.
         """
-        connection = self._take_idle(repeatable)
+        connection = self._take_idle(retryable)
         if connection is not None:
             taken(connection)
             return
@@ -83,14 +83,14 @@
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def accepts(self) -> bool:
+    async def can_connect(self) -> bool:
         """Return whether the upstream takes a new connection, and keep that idle."""
         connection = await self._open_connection()
         if connection is not None:
             self._on_idle(connection)
         return connection is not None
 
-    def give_back(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         """Take back a connection on which nothing was sent."""
         self._on_idle(connection)
 
@@ -122,7 +122,7 @@
         for connection in list(self._open):
             connection.abort()
 
-    def _take_idle(self, repeatable: bool) -> UpstreamConnection | None:
+    def _take_idle(self, retryable: bool) -> UpstreamConnection | None:
         now = self._clock.now()
         while self._idle:
             # The one used last comes first: it has rested least.
@@ -131,7 +131,7 @@
             if connection.closed or rested > self._usable_for(connection):
                 connection.abort()
                 self._idle.pop()
-            elif repeatable or rested <= self._usable_for(connection, False):
+            elif retryable or rested <= self._usable_for(connection, False):
                 return self._idle.pop()
             else:
                 self._make_room()
@@ -146,9 +146,9 @@
             connection.abort()
 
     def _usable_for(
-        self, connection: UpstreamConnection, repeatable: bool = True
+        self, connection: UpstreamConnection, retryable: bool = True
     ) -> float:
-        return self._rest.max_idle(connection.keep_for, repeatable)
+        return self._rest.max_idle(connection.keep_alive_timeout, retryable)
 
     async def _connect(
         self, taken: Callable[[UpstreamConnection | None], None]
@@ -182,5 +182,5 @@
 
     def _on_closed(self, connection: UpstreamConnection) -> None:
         self._open.discard(connection)
-        if connection.stale_after is not None:
-            self._rest.on_stale(connection.stale_after)
+        if connection.stale_idle_time is not None:
+            self._rest.on_stale(connection.stale_idle_time)
--- a/packages/rattanfork-node/rattanfork_node/http1/render.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/render.py
@@ -9,7 +9,7 @@
 _BODILESS = frozenset((204, 304))
 
 
-def render_answer(
+def render_response(
     status: int, block: bytes, body: bytes, close: bool, for_head: bool = False
 ) -> bytes:
     r"""Return a whole response.
@@ -17,9 +17,9 @@
     Examples
     ========
 
-    >>> render_answer(200, b"A: b\r\n", b"hi", close=True)
+    >>> render_response(200, b"A: b\r\n", b"hi", close=True)
     b'HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi'
-    >>> render_answer(204, b"", b"", close=False)
+    >>> render_response(204, b"", b"", close=False)
     b'HTTP/1.1 204 No Content\r\n\r\n'
     """
     line = _STATUS_LINES.get(status) or b"HTTP/1.1 %d Status\r\n" % status
--- a/packages/rattanfork-node/rattanfork_node/http1/server.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/server.py
@@ -37,7 +37,7 @@
         self.names = names
         self.limits = limits
         self.handler = handler
-        self.dropped = names.dropped_from_requests()
+        self.stripped = names.stripped_from_requests()
         self.request_id_name = names.request_id.lower()
         self.deadline_name = names.deadline.lower()
         self.key_name = names.key.lower()
--- a/packages/rattanfork-node/rattanfork_node/http1/server_connection.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/server_connection.py
@@ -10,7 +10,7 @@
 
 from rattanfork_node.http1.exchange import Exchange
 from rattanfork_node.http1.limits import RequestLimits
-from rattanfork_node.http1.render import render_answer
+from rattanfork_node.http1.render import render_response
 
 if TYPE_CHECKING:
     from rattanfork_node.http1.server import HttpServer
@@ -67,8 +67,8 @@
         self._server.connections.discard(self)
         for exchange in self.pending:
             exchange.answered = True
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+            if exchange.on_disconnect is not None:
+                exchange.on_disconnect()
         self.pending.clear()
 
     def pause_writing(self) -> None:
@@ -102,7 +102,7 @@
         else:
             # Counted from the second piece of a head on: of the first it is
             # not known how much belongs to the request before.
-            if self._reading_head and self._head_bytes > self._limits.head_bytes:
+            if self._reading_head and self._head_bytes > self._limits.max_head_bytes:
                 self._reject(431)
         self._regulate()
 
@@ -134,14 +134,14 @@
             self._hosts.append(value)
         elif lower == b"expect" and value.lower() == b"100-continue":
             self._continue = True
-        if lower not in server.dropped:
+        if lower not in server.stripped:
             self._block += name + b": " + value + b"\r\n"
 
     def on_headers_complete(self) -> None:
         """Check the head."""
         self._reading_head = False
         self._head_since = None
-        if self._head_size + len(self._target) > self._limits.head_bytes:
+        if self._head_size + len(self._target) > self._limits.max_head_bytes:
             self._fail(431)
         if len(self._hosts) != 1 or not self._target.startswith(b"/"):
             # With no host, or two, nodes could disagree on the route.
@@ -152,7 +152,7 @@
     def on_body(self, body: bytes) -> None:
         """Take a part of the body."""
         self._body_size += len(body)
-        if self._body_size > self._limits.body_bytes:
+        if self._body_size > self._limits.max_body_bytes:
             self._fail(413)
         self._body.append(body)
 
@@ -179,7 +179,7 @@
         self.pending.append(exchange)
         self._server.handler.on_request(exchange)
 
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         """Write the answers whose turn it is."""
         pending = self.pending
         if self._lost:
@@ -190,7 +190,7 @@
             status, block, body = exchange.output
             close = not exchange.keep_alive or (self._leaving and not pending)
             head = exchange.method == b"HEAD"
-            parts.append(render_answer(status, block, body, close, head))
+            parts.append(render_response(status, block, body, close, head))
             if close:
                 self._closing = True
                 break
@@ -265,7 +265,7 @@
         block = b""
         if self._request_id:
             block = names.request_id + b": " + self._request_id + b"\r\n"
-        exchange.answer(status, block)
+        exchange.respond(status, block)
 
     def _regulate(self) -> None:
         full = not self._writable or len(self.pending) >= _MOST_PIPELINED
--- a/packages/rattanfork-node/rattanfork_node/http1/tests/test_pool.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/tests/test_pool.py
@@ -35,9 +35,9 @@
         self._on_idle(connection)
         return connection
 
-    def take(self, repeatable: bool) -> UpstreamConnection | None:
+    def take(self, retryable: bool) -> UpstreamConnection | None:
         found: list = []
-        self.acquire(found.append, repeatable)
+        self.acquire(found.append, retryable)
         return found[0] if found else None
 
 
@@ -56,9 +56,9 @@
     pool = Pool()
     rested = pool.rest()
     pool.clock.advance(0.4)
-    assert pool.take(repeatable=False) is None
+    assert pool.take(retryable=False) is None
     assert len(pool._connecting) == 1
-    assert pool.take(repeatable=True) is rested
+    assert pool.take(retryable=True) is rested
 
 
 @on_loop
@@ -68,7 +68,7 @@
     pool.clock.advance(0.4)
     fresh = pool.rest()
     pool.clock.advance(0.05)
-    assert pool.take(repeatable=False) is fresh
+    assert pool.take(retryable=False) is fresh
 
 
 @on_loop
@@ -77,7 +77,7 @@
     oldest = pool.rest()
     pool.rest()
     pool.clock.advance(0.4)
-    assert pool.take(repeatable=False) is None
+    assert pool.take(retryable=False) is None
     assert len(pool._connecting) == 1
     assert oldest._transport.aborted
 
@@ -92,9 +92,9 @@
     pool = Pool()
     first, second = pool.rest(), pool.rest()
     pool.clock.advance(1.0)
-    assert pool.take(repeatable=True) is second
+    assert pool.take(retryable=True) is second
     reset_when_used(second)
-    assert pool.take(repeatable=True) is None
+    assert pool.take(retryable=True) is None
     assert first._transport.aborted
 
 
@@ -107,4 +107,4 @@
     connection.send(b"...", b"r", lambda _: None)
     connection.data_received(b"HTTP/1.1 200 OK\r\n")
     connection.connection_lost(ConnectionResetError())
-    assert pool.take(repeatable=True) is not None
+    assert pool.take(retryable=True) is not None
--- a/packages/rattanfork-node/rattanfork_node/http1/tests/test_server.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/tests/test_server.py
@@ -12,9 +12,9 @@
     client = Client()
     client.send(request(request_id="r1") + request(request_id="r2"))
     first, second = client.taken
-    second.answer(200, body=b"two")
+    second.respond(200, body=b"two")
     assert client.transport.written == b""
-    first.answer(200, body=b"one")
+    first.respond(200, body=b"one")
     assert client.transport.written.index(b"one") < client.transport.written.index(
         b"two"
     )
@@ -29,7 +29,7 @@
     client = Client()
     client.send(request(more="Connection: close\r\n") + request(request_id="r2"))
     assert [e.request_id for e in client.taken] == [b"r1"]
-    client.taken[0].answer(200)
+    client.taken[0].respond(200)
     assert b"Connection: close" in client.transport.written
     assert client.transport.closed
 
@@ -44,7 +44,7 @@
     client.send(request(request_id="r1"))
     client.server.leave()
     client.send(request(request_id="r2"))
-    client.taken[0].answer(200, body=b"one")
+    client.taken[0].respond(200, body=b"one")
     assert [e.request_id for e in client.taken] == [b"r1"]
     assert b"Connection: close" in client.transport.written
     assert client.transport.closed
@@ -62,7 +62,7 @@
     client.server.leave()
     assert not client.transport.closed
     client.send(b"cd")
-    client.taken[0].answer(200)
+    client.taken[0].respond(200)
     assert client.taken[0].body == b"abcd"
     assert client.transport.closed
 
@@ -77,9 +77,9 @@
     client = Client()
     client.send(request())
     left = []
-    client.taken[0].on_gone = lambda: left.append(True)
+    client.taken[0].on_disconnect = lambda: left.append(True)
     client.connection.connection_lost(None)
-    client.taken[0].answer(200)
+    client.taken[0].respond(200)
     assert left == [True]
     assert client.transport.written == b""
 
@@ -117,24 +117,24 @@
     client = Client()
     client.send(request() + b"nonsense\r\n\r\n")
     assert client.transport.written == b""
-    client.taken[0].answer(200)
+    client.taken[0].respond(200)
     assert client.statuses == [200, 400]
 
 
 def test_a_head_that_is_too_large_is_refused():
     head = b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"a" * 300
-    whole = Client(RequestLimits(head_bytes=200))
+    whole = Client(RequestLimits(max_head_bytes=200))
     whole.send(head + b"\r\n\r\n")
     assert whole.statuses == [431]
     assert whole.taken == []
-    endless = Client(RequestLimits(head_bytes=200))
+    endless = Client(RequestLimits(max_head_bytes=200))
     endless.send(head)
     endless.send(b"a" * 300)
     assert endless.statuses == [431]
 
 
 def test_a_body_that_is_too_large_is_refused():
-    client = Client(RequestLimits(body_bytes=3))
+    client = Client(RequestLimits(max_body_bytes=3))
     client.send(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nabcd")
     assert client.statuses == [413]
     assert client.taken == []
@@ -174,7 +174,7 @@
     client.send(
         request(more="Keep-Alive: timeout=5\r\nRattanfork-Caller: x\r\nX-Other: y\r\n")
     )
-    block = client.taken[0].block
+    block = client.taken[0].header_block
     assert b"X-Other: y\r\n" in block
     assert b"Rattanfork-Request-Id: r1\r\n" in block
     assert b"Keep-Alive" not in block
@@ -188,7 +188,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     )
     [exchange] = client.taken
-    assert (exchange.body, exchange.host, exchange.wait) == (b"abc", "h", 1.5)
+    assert (exchange.body, exchange.host, exchange.client_timeout) == (b"abc", "h", 1.5)
 
 
 @given(st.lists(st.integers(1, 40), max_size=40), st.integers(1, 4))
@@ -213,5 +213,5 @@
     client.send(request() + data)
     assert client.taken[0].request_id == b"r1"
     for exchange in client.taken:
-        exchange.answer(200)
+        exchange.respond(200)
     assert client.statuses[0] == 200
--- a/packages/rattanfork-node/rattanfork_node/http1/tests/test_upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/tests/test_upstream.py
@@ -159,7 +159,7 @@
     upstream = Upstream()
     upstream.ask()
     upstream.say(b"HTTP/1.1 204 No Content\r\nKeep-Alive: max=5, timeout=7\r\n\r\n")
-    assert upstream.connection.keep_for == 7.0
+    assert upstream.connection.keep_alive_timeout == 7.0
 
 
 @given(st.binary(max_size=200))
--- a/packages/rattanfork-node/rattanfork_node/http1/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/upstream.py
@@ -7,7 +7,7 @@
 import httptools
 from rattanfork_core.clock import Clock
 
-from rattanfork_node.http1.headers import PER_CONNECTION
+from rattanfork_node.http1.headers import NOT_FORWARDED
 
 #: Seconds within which a reset speaks of a connection that was forgotten: the
 #: upstream is on this instance, and a reset comes back as soon as it is sent to.
@@ -18,7 +18,7 @@
 _MOST_BYTES = 64 << 20
 
 
-class UpstreamAnswer(NamedTuple):
+class UpstreamResponse(NamedTuple):
     """A whole answer of an upstream.
 
     Parameters
@@ -35,7 +35,7 @@
     """
 
     status: int
-    block: bytes
+    header_block: bytes
     body: bytes
     headers: dict[bytes, bytes]
 
@@ -71,18 +71,18 @@
         self,
         clock: Clock,
         id_name: bytes,
-        noted: frozenset[bytes],
+        captured: frozenset[bytes],
         on_idle: Callable[["UpstreamConnection"], None],
         on_closed: Callable[["UpstreamConnection"], None],
     ) -> None:
         self._clock = clock
         self._id_name = id_name
-        self._noted = noted
+        self._noted = captured
         self._on_idle = on_idle
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._done: Callable[[UpstreamAnswer | None], None] | None = None
+        self._done: Callable[[UpstreamResponse | None], None] | None = None
         self._request_id = b""
         self._is_head = False
         #: Something came that was not asked for.
@@ -90,10 +90,10 @@
         self.closed = False
         self.idle_since = clock.now()
         #: Seconds for which the upstream keeps the connection; None if unsaid.
-        self.keep_for: float | None = None
+        self.keep_alive_timeout: float | None = None
         #: Seconds that the connection had rested when it turned out to be
         #: forgotten by the other end; None while it has not.
-        self.stale_after: float | None = None
+        self.stale_idle_time: float | None = None
         self._rested = 0.0
         self._sent_at = 0.0
         self._heard = False
@@ -103,7 +103,7 @@
         self,
         data: bytes,
         request_id: bytes,
-        done: Callable[[UpstreamAnswer | None], None],
+        done: Callable[[UpstreamResponse | None], None],
         is_head: bool = False,
     ) -> None:
         """Send a request.
@@ -180,12 +180,12 @@
         if lower == self._id_name:
             self._answer_id = value
         elif lower == b"keep-alive":
-            self.keep_for = _keep_alive_timeout(value)
+            self.keep_alive_timeout = _keep_alive_timeout(value)
         elif lower in (b"content-length", b"transfer-encoding"):
             self._until_close = False
         if lower in self._noted:
             self._headers[lower] = value
-        if lower not in PER_CONNECTION:
+        if lower not in NOT_FORWARDED:
             self._block += name + b": " + value + b"\r\n"
 
     def on_headers_complete(self) -> None:
@@ -210,7 +210,7 @@
     def _note_stale(self) -> None:
         waited = self._clock.now() - self._sent_at
         if waited < _STALE_WITHIN and self._rested > _SOME_REST:
-            self.stale_after = self._rested
+            self.stale_idle_time = self._rested
 
     def _reset(self) -> None:
         self._answer_id = b""
@@ -228,7 +228,7 @@
         if self._done is None or (foreign and reusable):
             return
         done, self._done = self._done, None
-        answer = UpstreamAnswer(
+        answer = UpstreamResponse(
             self._status, bytes(self._block), b"".join(self._body), self._headers
         )
         if foreign:
--- a/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
@@ -81,7 +81,7 @@
         if not is_call:
             self._counters.losses[str(route or "-"), reason.label] += 1
         request_id = exchange.request_id
-        if self._log.wants(request_id, plain=False):
+        if self._log.should_log(request_id, plain=False):
             fields = {
                 "fingerprint": format_fingerprint(exchange.fingerprint),
                 "outcome": Outcome.NOT_RUN.label,
@@ -91,7 +91,7 @@
                 "account": exchange.account_name,
                 "retry_after": round(retry_after, 2),
                 "host": exchange.host,
-                "allowed_ms": _milliseconds(exchange.wait),
+                "allowed_ms": _milliseconds(exchange.client_timeout),
                 **self._versions(),
                 **inputs,
             }
@@ -119,7 +119,7 @@
             if cause is not None:
                 self._counters.losses[route.name, cause] += 1
         plain = good and len(attempts) == 1
-        if not self._log.wants(exchange.request_id, plain):
+        if not self._log.should_log(exchange.request_id, plain):
             return
         fields = {
             "route": route.name,
@@ -159,7 +159,7 @@
         if ran is not None:
             self._counters.runs.add((job.operation, outcome), ran)
         plain = result.outcome is Outcome.ANSWERED and result.status < 400
-        if not self._log.wants(job.request_id, plain):
+        if not self._log.should_log(job.request_id, plain):
             return
         queued = 0.0
         if waiter is not None:
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -140,7 +140,7 @@
 
     def start(self) -> None:
         """Send the first attempt."""
-        self._exchange.on_gone = self.on_caller_disconnected
+        self._exchange.on_disconnect = self.on_caller_disconnected
         self._execute(self._machine.start())
 
     def on_caller_disconnected(self) -> None:
@@ -235,7 +235,7 @@
             admitted.operation,
             exchange.method,
             exchange.target,
-            exchange.block,
+            exchange.header_block,
             exchange.body,
             exchange.request_id,
             admitted.rank,
@@ -262,7 +262,7 @@
             admitted.operation,
             exchange.method,
             exchange.target,
-            exchange.block,
+            exchange.header_block,
             exchange.body,
             exchange.request_id,
             float(admitted.rank),
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -21,9 +21,9 @@
 
 from rattanfork_node.http1 import (
     HeaderNames,
-    UpstreamAnswer,
     UpstreamConnection,
     UpstreamPool,
+    UpstreamResponse,
     render_head,
 )
 from rattanfork_node.relay.crash_detector import CrashDetector
@@ -359,7 +359,7 @@
             return
         reason = self._reason_not_to_hand_over(job)
         if reason is not Reason.NONE:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             self._finish_run(job, not_run(reason), False)
             return
         job.connection = connection
@@ -391,7 +391,7 @@
             headers += b"%b: %b\r\n" % (names.account, job.account.encode())
         return render_head(job.method, job.target, job.block, len(job.body), headers)
 
-    def _on_answer(self, job: Job, answer: UpstreamAnswer | None) -> None:
+    def _on_answer(self, job: Job, answer: UpstreamResponse | None) -> None:
         if job.ended:
             return
         result = result_from_answer(job, answer, self._not_run_name)
--- a/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
@@ -2,7 +2,7 @@
 
 from rattanfork_core.request import CallResult, Outcome, Reason
 
-from rattanfork_node.http1 import UpstreamAnswer
+from rattanfork_node.http1 import UpstreamResponse
 from rattanfork_node.relay.job import Job
 
 #: Reasons for which another instance may succeed.
@@ -24,7 +24,7 @@
 
 
 def result_from_answer(
-    job: Job, answer: UpstreamAnswer | None, not_run_name: bytes
+    job: Job, answer: UpstreamResponse | None, not_run_name: bytes
 ) -> CallResult:
     """Return the result of a request that was written to the upstream.
 
@@ -33,7 +33,7 @@
 
     job : Job
         The request.
-    answer : UpstreamAnswer or None
+    answer : UpstreamResponse or None
         Its response; None if the connection closed before one arrived.
     not_run_name : bytes
         Lower-case name of the response header by which an upstream states that it
@@ -59,10 +59,13 @@
     return CallResult(Outcome.NOT_RUN, reason, retry_elsewhere=retry_elsewhere)
 
 
-def answered(job: Job, answer: UpstreamAnswer) -> CallResult:
+def answered(job: Job, answer: UpstreamResponse) -> CallResult:
     """Return the result of a request that the upstream ran and answered."""
     result = CallResult(
-        Outcome.ANSWERED, status=answer.status, block=answer.block, body=answer.body
+        Outcome.ANSWERED,
+        status=answer.status,
+        block=answer.header_block,
+        body=answer.body,
     )
     if answer.status >= 500 and not job.failed_calls:
         # No downstream call failed, so the failure is the upstream's own and
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -60,7 +60,7 @@
         """Refuse a request that matches no route."""
         self._counters.events["relay.no-route"] += 1
         self._decision_log.on_refused(exchange, _NO_ROUTE_STATUS, Reason.NO_ROUTE)
-        exchange.answer(_NO_ROUTE_STATUS, self.request_id_line(exchange))
+        exchange.respond(_NO_ROUTE_STATUS, self.request_id_line(exchange))
 
     def refuse_account(
         self, exchange: Exchange, route: Route, refusal: Refusal
@@ -73,13 +73,13 @@
             refusal.reason,
             retry_after,
             route=route.name,
-            waited_ms=round(exchange.waited * 1000, 1),
+            waited_ms=round(exchange.quota_delay * 1000, 1),
         )
         if retry_after:
             self.answer_not_run(exchange, refusal.reason, retry_after, refusal.status)
             return
         self._counters.events[f"relay.refused.{refusal.reason.label}"] += 1
-        exchange.answer(refusal.status, self.request_id_line(exchange))
+        exchange.respond(refusal.status, self.request_id_line(exchange))
 
     def answer_not_run(
         self,
@@ -92,7 +92,7 @@
         self._counters.events[f"relay.refused.{reason.label}"] += 1
         self._accounts.refund_quota(exchange)
         line = b"Retry-After: %.2f\r\n" % retry_after
-        exchange.answer(status, self.request_id_line(exchange) + line)
+        exchange.respond(status, self.request_id_line(exchange) + line)
 
     def request_id_line(self, exchange: Exchange) -> bytes:
         """Return the header line that echoes the request ID, if there is one."""
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -188,7 +188,7 @@
                 route=route.name,
             )
             return
-        exchange.block += self._caller_line
+        exchange.header_block += self._caller_line
         service = self._configuration.next_service(route)
         picker = self.directory.picker(service)
         if picker is None or not picker.subset:
@@ -325,14 +325,14 @@
         status = result.status or _status_without_answer(outcome, reason)
         self._decision_log.on_finished(exchange, admitted, attempts, result, status)
         if result.status:
-            exchange.answer(status, result.block, result.body)
+            exchange.respond(status, result.block, result.body)
         elif outcome is Outcome.NOT_RUN:
             retry_after = self._jittered_retry_after(admitted.rank)
             if reason is Reason.QUARANTINED:
                 retry_after = self.quarantine.seconds_left(exchange.fingerprint)
             self._refusals.answer_not_run(exchange, reason, retry_after)
         else:
-            exchange.answer(status, self._refusals.request_id_line(exchange))
+            exchange.respond(status, self._refusals.request_id_line(exchange))
 
     def close(self) -> None:
         """Cancel background tasks."""
@@ -352,10 +352,10 @@
         rule: str = "",
     ) -> None:
         now = self.clock.now()
-        began = now - exchange.waited
+        began = now - exchange.quota_delay
         deadline = began + route.timeout - _ANSWER_MARGIN_S
-        if exchange.wait is not None:
-            deadline = min(deadline, began + exchange.wait - _ANSWER_MARGIN_S)
+        if exchange.client_timeout is not None:
+            deadline = min(deadline, began + exchange.client_timeout - _ANSWER_MARGIN_S)
         if parent is not None:
             deadline = min(deadline, parent.deadline)
         admitted = AdmittedRequest(
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -18,7 +18,7 @@
 from rattanfork_core.trace import LineBudget
 
 from rattanfork_node.config.holder import ConfigurationHolder
-from rattanfork_node.http1 import HeaderNames, UpstreamAnswer
+from rattanfork_node.http1 import HeaderNames, UpstreamResponse
 from rattanfork_node.http1.exchange import Exchange
 from rattanfork_node.member.directory import InstanceDirectory
 from rattanfork_node.peer import LinkLostError, Run, RunReply
@@ -66,13 +66,13 @@
         self.held: list = []
         self.holding = False
         #: Number of open connections, and whether the upstream accepts new ones.
-        self.open = 1
+        self.open_connections = 1
         self.accepting = True
 
-    async def accepts(self) -> bool:
+    async def can_connect(self) -> bool:
         return self.accepting
 
-    def acquire(self, taken, repeatable=True) -> None:
+    def acquire(self, taken, retryable=True) -> None:
         if self.holding:
             self.held.append(taken)
         elif self.broken:
@@ -81,7 +81,7 @@
             self.connections.append(FakeConnection())
             taken(self.connections[-1])
 
-    def give_back(self, connection) -> None:
+    def release(self, connection) -> None:
         connection.aborted = True
 
     def retire(self) -> None:
@@ -149,7 +149,7 @@
     def answer(self, number: int, status: int = 200, **headers: bytes) -> None:
         noted = {name.replace("_", "-").encode(): v for name, v in headers.items()}
         done = self.pool.connections[number].done
-        done(UpstreamAnswer(status, b"X: y\r\n", b"body", noted))
+        done(UpstreamResponse(status, b"X: y\r\n", b"body", noted))
 
 
 class FakeLink:
@@ -240,7 +240,7 @@
 class FakeClientConnection:
     """Client connection that ignores flushes; tests read ``exchange.output``."""
 
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         pass
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -103,7 +103,7 @@
         harness.send_request(request_id=f"r{number}")
         harness.clock.advance(wait)
         link.reply(number, ANSWERED, status=status)
-    harness.send_request(request_id="left").on_gone()
+    harness.send_request(request_id="left").on_disconnect()
     harness.gate_harness.submit("run", deadline=harness.clock.now() + 2)
     harness.send_request("/i/x", request_id="run.0123456789abcdef")
     link.reply(4, ANSWERED, status=200, cut=0.0)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate_faults.py
@@ -6,7 +6,7 @@
 import pytest
 from rattanfork_core.request import CallResult, Outcome
 
-from rattanfork_node.http1 import UpstreamAnswer
+from rattanfork_node.http1 import UpstreamResponse
 from rattanfork_node.relay.job import Job
 from rattanfork_node.relay.tests.fakes import (
     FakeConnection,
@@ -29,7 +29,7 @@
         self.gate.attach(self.gate.upstream._replace(born=1000), 9)
         self.gate._make_pool = self.make_pool
         self.pool.holding = holding
-        self.answers: dict[FakeConnection, UpstreamAnswer | None] = {}
+        self.answers: dict[FakeConnection, UpstreamResponse | None] = {}
         self.jobs: list[tuple[Job, list[CallResult]]] = [
             self.submit(
                 name, idempotent=idempotent, block=b"Id: %b\r\n" % name.encode()
@@ -58,7 +58,7 @@
         for connection in self.written:
             if connection.aborted or connection in self.answers:
                 continue
-            answer = UpstreamAnswer(status, b"", b"body", noted or {})
+            answer = UpstreamResponse(status, b"", b"body", noted or {})
             self.answers[connection] = answer if status else None
             connection.done(self.answers[connection])
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -125,7 +125,7 @@
 async def test_caller_disconnect_cancels_run():
     harness = RelayHarness(peers=1)
     exchange = harness.send_request()
-    exchange.on_gone()
+    exchange.on_disconnect()
     assert [type(m) for m in harness.links[0].sent] == [Cancel]
 
 
@@ -260,7 +260,7 @@
     harness.gate.cancel(job)
     assert harness.gate_harness.pool.connections[0].aborted
     assert not exchange.answered
-    exchange.on_gone()
+    exchange.on_disconnect()
     assert [type(m) for m in harness.links[0].sent] == [Cancel]
 
 
--- a/packages/rattanfork-node/rattanfork_node/telemetry/scrape.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/prometheus.py
@@ -20,7 +20,7 @@
 from rattanfork_node.telemetry.durations import DurationBuckets
 
 #: Content type of the rendered text.
-TEXT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
+CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class NodeCollector(Collector):
--- a/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
@@ -44,7 +44,7 @@
         self._instance = instance
         self._wall = wall
 
-    def wants(self, request_id: bytes, plain: bool) -> bool:
+    def should_log(self, request_id: bytes, plain: bool) -> bool:
         """Return whether a line is to be written now.
 
         Asked first, so that fields are gathered only for lines that are.
@@ -59,7 +59,7 @@
         fields["id"] = request_id.decode("latin-1")
         self._writer.write(fields)
 
-    def left_out(self) -> dict[str, int]:
+    def take_left_out(self) -> dict[str, int]:
         """Return the lines left out since the last call, by kind."""
         left_out = self._budget.take_left_out()
         if self._writer.dropped:
--- a/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
@@ -62,9 +62,9 @@
 def test_lines_left_out_are_told():
     clock = ManualClock()
     log = RequestLog(LineWriter(None), LineBudget(clock, 1, 4), "n1", clock.now)
-    wanted = [log.wants(b"r", plain=False) for _ in range(6)]
+    wanted = [log.should_log(b"r", plain=False) for _ in range(6)]
     assert wanted == [True] * 4 + [False] * 2
-    assert log.left_out() == {"trouble": 2}
+    assert log.take_left_out() == {"trouble": 2}
 
 
 def test_buckets_add_up_and_strange_labels_do_not_grow_them():
@@ -79,7 +79,7 @@
 
 
 class Client:
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         pass
 
 
