--- a/packages/rattanfork-node/rattanfork_node/telemetry/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/__init__.py
@@ -1,8 +1,8 @@
-"""Counters and logs of a node.
+"""Counters, logs and metrics of a node.
 
-Metrics stand in :mod:`rattanfork_node.telemetry.metrics` and are imported from
-there: their library takes tens of megabytes, which a node that serves its
-counters as text does not need.
+OpenTelemetry metrics are imported from :mod:`rattanfork_node.telemetry.metrics` only
+where they are used: the library takes tens of megabytes, which a node that serves its
+counters as Prometheus text does not need.
 """
 
 from rattanfork_node.telemetry.counters import Counters
--- a/packages/rattanfork-node/rattanfork_node/telemetry/counters.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""Plain counters for the hot path."""
+"""Counters that the request path increments and exporters read."""
 
 from collections import Counter
 
@@ -6,14 +6,14 @@
 
 
 class Counters:
-    """Counts that tasks raise and metrics read.
+    """Request, call and event counters of a node.
 
     Explanation
     ===========
 
-    A metrics instrument builds a set of labels for each call, which costs
-    more than the decision it counts.  Tasks raise plain numbers instead, and
-    the instruments read them when they are collected.
+    An instrument of a metrics library builds a label set for each increment, which
+    costs more than the decision that it counts.  The request path increments plain
+    numbers instead, and exporters read them at collection.
 
     Examples
     ========
@@ -27,19 +27,19 @@
     def __init__(self) -> None:
         self.requests: Counter[tuple[str, str, str]] = Counter()
         self.calls: Counter[tuple[str, str]] = Counter()
-        #: Calls to the store by kind and result; kept by its client.
+        #: Calls to the store by kind and result; incremented by its client.
         self.store: Counter[tuple[str, str]] = Counter()
-        #: Callers' requests that were not answered whole and in their objective, by
-        #: route and cause.
+        #: Callers' requests that failed or missed the latency objective, by route and
+        #: cause.
         self.losses: Counter[tuple[str, str]] = Counter()
         self.events: Counter[str] = Counter()
-        #: Of requests at the node of their caller, by route and outcome.
+        #: Durations of requests at the caller's node, by route and outcome.
         self.durations = DurationBuckets()
-        #: Of runs at this node's upstream, by operation and outcome.
+        #: Durations of runs at this node's upstream, by operation and outcome.
         self.runs = DurationBuckets()
 
     def snapshot(self) -> dict[str, dict[str, int]]:
-        """Return all counts with flat names."""
+        """Return all counts, with the labels of each joined to one name."""
         return {
             "requests": {"/".join(key): n for key, n in self.requests.items()},
             "calls": {"/".join(key): n for key, n in self.calls.items()},
--- a/packages/rattanfork-node/rattanfork_node/telemetry/durations.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/durations.py
@@ -1,27 +1,27 @@
-"""Durations by label, in buckets."""
+"""Duration histograms by a pair of labels."""
 
 from bisect import bisect_left
 from itertools import accumulate
 
-#: Upper bounds of the buckets, in seconds: the ones that the conventions of
-#: OpenTelemetry advise for the durations of requests.
+#: Upper bounds of the buckets in seconds, as the OpenTelemetry semantic conventions
+#: recommend for request durations.
 BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.25, 0.5, 0.75, 1, 2.5, 5, 7.5, 10)
-#: Labels kept; what comes with others is counted under the last one.
-_MOST_LABELS = 200
+#: Maximum number of label pairs; durations of further ones count as ``_OTHERS``.
+_MAX_LABELS = 200
 _OTHERS = ("other", "other")
 
 Labels = tuple[str, str]
 
 
 class DurationBuckets:
-    """Counts of durations by a pair of labels.
+    """Duration histograms by a pair of labels.
 
     Explanation
     ===========
 
-    Plain numbers, raised for each request and rendered by the metrics library
-    when somebody asks: an instrument of that library builds a set of labels
-    for each call, which costs more than the decision that it measures.
+    The request path increments plain numbers, which the metrics library renders at
+    collection.  An instrument of the library would build a label set for each
+    duration, which costs more than the decision that it measures.
 
     Examples
     ========
@@ -38,10 +38,10 @@
         self._sums: dict[Labels, float] = {}
 
     def add(self, labels: Labels, seconds: float) -> None:
-        """Count a duration."""
+        """Add a duration to the histogram of its labels."""
         counts = self._counts.get(labels)
         if counts is None:
-            if len(self._counts) >= _MOST_LABELS:
+            if len(self._counts) >= _MAX_LABELS:
                 labels = _OTHERS
             counts = self._counts.setdefault(labels, [0] * (len(BOUNDS) + 1))
             self._sums.setdefault(labels, 0.0)
@@ -49,10 +49,10 @@
         self._sums[labels] += seconds
 
     def totals(self) -> list[tuple[Labels, int, float]]:
-        """Return the number and the sum of the durations of each label."""
+        """Return the labels, count and sum of each histogram."""
         return [(k, sum(c), self._sums[k]) for k, c in self._counts.items()]
 
     def cumulative(self, labels: Labels) -> list[tuple[str, int]]:
-        """Return bounds as text, and how many durations lie up to each."""
-        names = [*(f"{bound:g}" for bound in BOUNDS), "+Inf"]
-        return list(zip(names, accumulate(self._counts[labels]), strict=True))
+        """Return the bounds as text, with the number of durations up to each."""
+        bound_labels = [*(f"{bound:g}" for bound in BOUNDS), "+Inf"]
+        return list(zip(bound_labels, accumulate(self._counts[labels]), strict=True))
--- a/packages/rattanfork-node/rattanfork_node/telemetry/http_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/http_log.py
@@ -1,4 +1,4 @@
-"""What the HTTP library logs, as a count."""
+"""Counts the errors that the HTTP server library logs."""
 
 import logging
 
@@ -6,13 +6,13 @@
 
 
 class CountingHandler(logging.Handler):
-    """Counts records instead of writing lines.
+    """Log handler that counts errors instead of writing them.
 
     Explanation
     ===========
 
-    The library answers requests that it cannot parse by itself, and logs each
-    with its bytes: a stranger could fill the log with what it likes.
+    The library rejects requests that it cannot parse, and logs each with its bytes.
+    Written out, any client could fill the log with arbitrary data.
 
     Examples
     ========
@@ -29,13 +29,16 @@
         self._counters = counters
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Count a record of an error; some of those are logged as debug."""
+        """Count a record that has an exception or is at least a warning.
+
+        The library logs some errors at debug level.
+        """
         if record.exc_info or record.levelno >= logging.WARNING:
             self._counters.events["bad.http"] += 1
 
 
 def counting_logger(counters: Counters) -> logging.Logger:
-    """Return a logger that counts errors."""
+    """Return a logger for the HTTP library that only counts errors."""
     logger = logging.Logger("rattanfork.http", logging.DEBUG)
     logger.addHandler(CountingHandler(counters))
     return logger
--- a/packages/rattanfork-node/rattanfork_node/telemetry/log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured lines for changes of state."""
+"""Structured log lines for state changes of a node."""
 
 import os
 
@@ -10,7 +10,7 @@
 
 
 def start_log(target: str, instance: str) -> LineWriter:
-    """Send lines to standard output, standard error, nowhere, or the end of a file.
+    """Open the log: standard output, standard error, a file to append to, or none.
 
     Parameters
     ==========
@@ -18,7 +18,7 @@
     target : str
         ``stdout``, ``stderr``, ``none`` or the path of a file.
     instance : str
-        Named on each line.
+        Name of the instance, added to each line.
 
     Raises
     ======
@@ -37,5 +37,5 @@
 
 
 def log_change(what: str, **fields: object) -> None:
-    """Log one change of state."""
+    """Log a state change, such as ``started`` or ``draining``."""
     log_message(message_type=f"rattanfork:{what}", **fields)
--- a/packages/rattanfork-node/rattanfork_node/telemetry/metrics.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry."""
+"""OpenTelemetry metrics of a node."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -15,32 +15,47 @@
 
 from rattanfork_node.telemetry.counters import Counters
 
-#: Durations kept between two collections; more are sampled away.
-_MOST_DURATIONS = 20_000
-_BOUNDS = [0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.25, 0.5, 0.75, 1, 2.5, 5, 7.5, 10]
+#: Maximum number of durations of a service kept between two flushes; more are dropped.
+_MAX_BUFFERED_DURATIONS = 20_000
+_BUCKET_BOUNDS = [
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.075,
+    0.1,
+    0.25,
+    0.5,
+    0.75,
+    1,
+    2.5,
+    5,
+    7.5,
+    10,
+]
 
 
 class Metrics:
-    """The instruments of a node.
+    """Metrics of a node, exported by OTLP and as JSON.
 
     Explanation
     ===========
 
-    Names follow the semantic conventions where those have one.  Metrics are
-    exported by OTLP if settings name a collector, and can always be read as
-    JSON from the admin port.
+    Names follow the OpenTelemetry semantic conventions where these define one.
+    Metrics are exported by OTLP if the settings name a collector, and are always
+    available as JSON from the admin port.
 
     Parameters
     ==========
 
     instance, service, data_centre : str
-        Who reports.
+        Resource attributes of the node.
     counters : Counters
-        Counts that the instruments read.
+        Counters that the instruments read.
     gauges : callable
-        Returns the present values of gauges.
+        Returns the current gauge values by name.
     endpoint : str or None
-        Collector for OTLP over HTTP.
+        URL of the OTLP collector; None to export nothing.
     interval : float
         Seconds between two exports.
     """
@@ -58,8 +73,8 @@
         self._counters = counters
         self._gauges = gauges
         self._durations: dict[str, list[float]] = {}
-        self._memory = InMemoryMetricReader()
-        readers: list[MetricReader] = [self._memory]
+        self._json_reader = InMemoryMetricReader()
+        readers: list[MetricReader] = [self._json_reader]
         if endpoint:
             exporter = OTLPMetricExporter(endpoint=endpoint)
             readers.append(
@@ -75,18 +90,18 @@
             }
         )
         self._provider = MeterProvider(metric_readers=readers, resource=resource)
-        self._make_instruments()
+        self._create_instruments()
 
     def record_duration(self, service: str, seconds: float) -> None:
-        """Keep the duration of a caller's request for the histogram."""
+        """Buffer the duration of a caller's request for the histogram."""
         durations = self._durations.get(service)
         if durations is None:
             durations = self._durations[service] = []
-        if len(durations) < _MOST_DURATIONS:
+        if len(durations) < _MAX_BUFFERED_DURATIONS:
             durations.append(seconds)
 
     def flush(self) -> None:
-        """Move kept durations into the histogram, off the hot path."""
+        """Record buffered durations in the histogram, off the request path."""
         for service, durations in self._durations.items():
             attributes = {"server.address": service}
             for seconds in durations:
@@ -96,20 +111,20 @@
     def as_json(self) -> str:
         """Return all metrics as JSON."""
         self.flush()
-        data = self._memory.get_metrics_data()
+        data = self._json_reader.get_metrics_data()
         return data.to_json() if data is not None else json.dumps({})
 
     def close(self) -> None:
-        """Export what is left."""
+        """Export remaining values and shut down."""
         self._provider.shutdown()
 
-    def _make_instruments(self) -> None:
+    def _create_instruments(self) -> None:
         meter = self._provider.get_meter("rattanfork")
         self._histogram = meter.create_histogram(
             "http.server.request.duration",
             unit="s",
             description="Duration of callers' requests",
-            explicit_bucket_boundaries_advisory=_BOUNDS,
+            explicit_bucket_boundaries_advisory=_BUCKET_BOUNDS,
         )
         meter.create_observable_counter(
             "rattanfork.requests",
--- a/packages/rattanfork-node/rattanfork_node/telemetry/prometheus.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/prometheus.py
@@ -1,7 +1,7 @@
-"""Metrics as text, for common scrapers.
+"""Metrics of a node in Prometheus text format.
 
-The library that renders them takes memory of its own, so this module is
-imported only by a node that is asked for its metrics.
+The rendering library takes extra memory, so a node imports this module only when its
+metrics are first scraped.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -19,22 +19,22 @@
 from rattanfork_node.telemetry.counters import Counters
 from rattanfork_node.telemetry.durations import DurationBuckets
 
-#: Content type of the rendered text.
+#: Content type of the Prometheus text format.
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class NodeCollector(Collector):
-    """Renders what a node counts.
+    """Collects the counters, histograms and gauges of a node.
 
     Parameters
     ==========
 
     counters : Counters
-        Counts by outcome, event and call of the store.
+        Counters and histograms of the node.
     gauges : callable
-        Returns the present values of gauges by name.
+        Returns the current gauge values by name.
     objectives : RouteObjectives
-        Callers' requests against the objectives of their routes.
+        Counts of callers' requests within the objectives of their routes.
     """
 
     def __init__(
@@ -108,25 +108,28 @@
     gauges: Callable[[], dict[str, float]],
     objectives: RouteObjectives,
 ) -> bytes:
-    """Return all metrics as text."""
+    """Return all metrics in Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(NodeCollector(counters, gauges, objectives))
     return generate_latest(registry)
 
 
 def _counter(
-    name: str, text: str, labels: list[str], counts: Mapping[tuple[str, ...], int]
+    name: str,
+    documentation: str,
+    labels: list[str],
+    counts: Mapping[tuple[str, ...], int],
 ) -> CounterMetricFamily:
-    family = CounterMetricFamily(name, text, labels=labels)
+    family = CounterMetricFamily(name, documentation, labels=labels)
     for values, count in counts.items():
         family.add_metric(values, count)
     return family
 
 
 def _histogram(
-    name: str, text: str, labels: list[str], durations: DurationBuckets
+    name: str, documentation: str, labels: list[str], durations: DurationBuckets
 ) -> HistogramMetricFamily:
-    family = HistogramMetricFamily(name, text, labels=labels)
+    family = HistogramMetricFamily(name, documentation, labels=labels)
     for values, _, total in durations.totals():
         family.add_metric(values, durations.cumulative(values), total)
     return family
--- a/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
@@ -1,4 +1,4 @@
-"""Lines about single requests."""
+"""Log lines about single requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,27 +9,27 @@
 
 
 class RequestLog:
-    """Writes one line for each decision on a request, within a budget.
+    """Writes one line per decision on a request, within a line budget.
 
     Explanation
     ===========
 
-    These lines are encoded directly: the library for changes of state took
-    three times as long for each (21 us against 6.3 us, 20,000 lines of the same
-    fields, one machine).
+    Lines are encoded directly rather than by the library for state changes, which
+    takes three times as long per line (21 us instead of 6.3 us over 20,000 lines
+    of the same fields).
 
     Parameters
     ==========
 
     writer : LineWriter
-        Where lines go.
+        Output for the lines.
     budget : LineBudget
-        Bounds them.
+        Limits the rate of lines.
     instance : str
-        Named on each line, since logs of many nodes are read together.
+        Name of the instance, added to each line: logs of nodes are read together.
     wall : callable
-        Returns the time of day in seconds: lines of nodes are put in order by
-        it, and nothing is decided by it.
+        Returns wall clock seconds for time stamps, by which lines of several nodes
+        are ordered.  No decision depends on it.
     """
 
     def __init__(
@@ -42,30 +42,31 @@
         self._writer = writer
         self._budget = budget
         self._instance = instance
-        self._wall = wall
+        self._wall_time = wall
 
     def should_log(self, request_id: bytes, plain: bool) -> bool:
-        """Return whether a line is to be written now.
+        """Return whether the line budget allows a line about a request.
 
-        Asked first, so that fields are gathered only for lines that are.
+        Callers check this first, and collect the fields only if it is allowed.
+        Under load, lines about requests that succeeded (``plain``) are sampled first.
         """
         return self._budget.allows(request_id, plain)
 
     def write(self, kind: str, request_id: bytes, fields: dict[str, Any]) -> None:
-        """Write a line that was wanted."""
-        fields["timestamp"] = self._wall()
+        """Write a line that :meth:`should_log` has allowed."""
+        fields["timestamp"] = self._wall_time()
         fields["message_type"] = f"rattanfork:{kind}"
         fields["instance"] = self._instance
         fields["id"] = request_id.decode("latin-1")
         self._writer.write(fields)
 
     def take_left_out(self) -> dict[str, int]:
-        """Return the lines left out since the last call, by kind."""
+        """Return and reset the numbers of lines left out, by kind."""
         left_out = self._budget.take_left_out()
         if self._writer.dropped:
             left_out["unread"] = self._writer.dropped
         return left_out
 
     def flush(self) -> None:
-        """Write what waits; call some times a second."""
+        """Flush the writer; call several times a second."""
         self._writer.flush()
--- a/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Lines never block, and metrics render as text."""
+"""Tests of log writing and metrics rendering."""
 
 import json
 import os
@@ -12,10 +12,10 @@
 from rattanfork_node.telemetry.durations import BOUNDS, DurationBuckets
 
 
-def test_a_reader_that_stops_costs_lines_and_not_time():
-    """A log collector hangs: the pipe fills up and nobody empties it.
+def test_writer_does_not_block_when_reader_stops():
+    """Guards against a hanging log collector that blocks the node by a full pipe.
 
-    Every write returns at once; what waits is bounded and the rest is counted.
+    Each write returns at once; the buffer is bounded and dropped lines are counted.
     """
     reader, writer_end = os.pipe()
     try:
@@ -24,14 +24,14 @@
             writer.write({"n": number, "text": "x" * 200})
             writer.flush()
         assert writer.dropped > 0
-        first = os.read(reader, 1 << 16).split(b"\n")
-        assert json.loads(first[0])["n"] == 0
+        lines_read = os.read(reader, 1 << 16).split(b"\n")
+        assert json.loads(lines_read[0])["n"] == 0
     finally:
         os.close(reader)
         os.close(writer_end)
 
 
-def test_lines_that_waited_go_out_whole_when_the_reader_is_back():
+def test_buffered_lines_are_written_whole_when_reader_resumes():
     reader, writer_end = os.pipe()
     try:
         writer = LineWriter(writer_end)
@@ -50,7 +50,7 @@
         os.close(writer_end)
 
 
-def test_a_closed_reader_does_not_stop_the_node():
+def test_closed_pipe_drops_lines_without_error():
     reader, writer_end = os.pipe()
     os.close(reader)
     writer = LineWriter(writer_end)
@@ -59,15 +59,15 @@
     os.close(writer_end)
 
 
-def test_lines_left_out_are_told():
+def test_lines_over_budget_are_counted_as_left_out():
     clock = ManualClock()
     log = RequestLog(LineWriter(None), LineBudget(clock, 1, 4), "n1", clock.now)
-    wanted = [log.should_log(b"r", plain=False) for _ in range(6)]
-    assert wanted == [True] * 4 + [False] * 2
+    allowed = [log.should_log(b"r", plain=False) for _ in range(6)]
+    assert allowed == [True] * 4 + [False] * 2
     assert log.take_left_out() == {"trouble": 2}
 
 
-def test_buckets_add_up_and_strange_labels_do_not_grow_them():
+def test_durations_of_excess_labels_are_counted_together():
     durations = DurationBuckets()
     for number in range(1000):
         durations.add((f"route-{number}", "answered"), 0.03)
@@ -78,18 +78,20 @@
     assert len(bounds) == len(BOUNDS) + 1
 
 
-class Client:
+class FakeClientConnection:
     def flush_responses(self) -> None:
         pass
 
 
-def ask(handler: MetricsHandler, target: bytes):
-    exchange = Exchange(Client(), b"GET", target, "h", b"", b"", b"", None, True)
+def get(handler: MetricsHandler, target: bytes):
+    exchange = Exchange(
+        FakeClientConnection(), b"GET", target, "h", b"", b"", b"", None, True
+    )
     handler.on_request(exchange)
     return exchange.output
 
 
-def test_metrics_are_served_as_text_that_scrapers_read():
+def test_metrics_are_served_in_prometheus_text_format():
     counters = Counters()
     counters.requests["answered", "a", "none"] += 3
     counters.store["rows-get", "200"] += 2
@@ -97,7 +99,7 @@
     objectives = RouteObjectives(ManualClock(9.0))
     objectives.add("a", good=False)
     objectives.roll()
-    status, block, body = ask(
+    status, block, body = get(
         MetricsHandler(counters, lambda: {"waiting": 4}, objectives), b"/metrics"
     )
     assert status == 200
@@ -111,4 +113,4 @@
     assert f"rattanfork_objective_requests{{{labels}}} 1.0" in lines
     bucket = 'http_server_request_duration_seconds_bucket{le="0.025"'
     assert any(line.startswith(bucket) and line.endswith(" 1.0") for line in lines)
-    assert ask(MetricsHandler(counters, dict, objectives), b"/")[0] == 404
+    assert get(MetricsHandler(counters, dict, objectives), b"/")[0] == 404
--- a/packages/rattanfork-node/rattanfork_node/telemetry/writer.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/writer.py
@@ -1,4 +1,4 @@
-"""Lines to a file descriptor, without ever waiting for who reads them."""
+"""Non-blocking log writer for a file descriptor."""
 
 import os
 import stat
@@ -6,32 +6,32 @@
 
 import orjson
 
-#: Bytes of lines that may wait for a reader.  Two seconds of the most that a
-#: node writes; more would count against the memory that serves requests.
-_MOST_WAITING = 160 << 10
+#: Maximum size of the buffer in bytes: 2 s of output at the highest rate of a node.
+#: More would reduce the memory that is available for requests.
+_MAX_BUFFER_BYTES = 160 << 10
 
 
 class LineWriter:
-    """Writes lines, and drops them where nobody reads.
+    """Writes JSON lines without blocking, and drops them if the reader stops.
 
     Explanation
     ===========
 
-    A collector that stops reading fills the pipe, and a plain write would then
-    hold up every request of the node.  So the pipe is set not to block; what
-    does not fit waits in a bounded buffer, and what does not fit there is
-    dropped and counted.
+    If a log collector stops reading, the pipe fills up, and a blocking write would
+    delay every request of the node.  The pipe is therefore set non-blocking; lines
+    that do not fit wait in a bounded buffer, and further ones are dropped and
+    counted.
 
     Parameters
     ==========
 
     descriptor : int or None
-        Where lines go; None for nowhere.
+        File descriptor for the lines; None to discard them.
     """
 
     def __init__(self, descriptor: int | None) -> None:
         self._descriptor = descriptor
-        self._waiting: list[bytes] = []
+        self._buffer: list[bytes] = []
         self._size = 0
         self._dropped = 0
         if descriptor is not None and _is_pipe(descriptor):
@@ -39,41 +39,41 @@
 
     @property
     def dropped(self) -> int:
-        """Lines lost because nobody read."""
+        """Number of lines dropped because the reader stopped or closed the pipe."""
         return self._dropped
 
     def write(self, record: dict[str, Any]) -> None:
-        """Add a line; it goes out with the next :meth:`flush`."""
+        """Buffer a line until the next :meth:`flush`."""
         if self._descriptor is None:
             return
         line = orjson.dumps(record, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        if self._size + len(line) > _MOST_WAITING:
+        if self._size + len(line) > _MAX_BUFFER_BYTES:
             self._dropped += 1
             return
-        self._waiting.append(line)
+        self._buffer.append(line)
         self._size += len(line)
 
     def write_now(self, record: dict[str, Any]) -> None:
-        """Write a line at once: a change of state may be the last one told."""
+        """Write a line immediately; the process may exit right after it."""
         self.write(record)
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as it is taken."""
-        if not self._waiting:
+        """Write as much of the buffer as the descriptor accepts."""
+        if not self._buffer:
             return
-        data = b"".join(self._waiting)
+        data = b"".join(self._buffer)
         try:
-            done = os.write(self._descriptor, data)
+            written = os.write(self._descriptor, data)
         except BlockingIOError:
-            done = 0
+            written = 0
         except OSError:
-            # Nobody will read any more; logs are no reason to stop serving.
-            self._dropped += len(self._waiting)
-            done = len(data)
-        rest = data[done:]
-        self._waiting = [rest] if rest else []
-        self._size = len(rest)
+            # The reader has closed the pipe; the node keeps serving without a log.
+            self._dropped += len(self._buffer)
+            written = len(data)
+        unwritten = data[written:]
+        self._buffer = [unwritten] if unwritten else []
+        self._size = len(unwritten)
 
 
 def _is_pipe(descriptor: int) -> bool:
