--- a/packages/rattanfork-node/rattanfork_node/admin/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The admin port: status, metrics, announcements, drain."""
+"""Admin port of a node: status, reports, metrics, announcements and drain."""
 
 from rattanfork_node.admin.admin import Admin
 
--- a/packages/rattanfork-node/rattanfork_node/admin/admin.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/admin.py
@@ -1,4 +1,4 @@
-"""The admin port of a node."""
+"""HTTP interface of a node for operators and its upstream."""
 
 from collections.abc import Callable
 
@@ -14,27 +14,27 @@
 
 
 class Admin:
-    """HTTP for operators and for the upstream's announcements.
+    """Admin HTTP server of a node.
 
     Parameters
     ==========
 
     rules : RevisionState
-        The rules in force.
+        Rules in force.
     metrics : Metrics
-        The node's metrics.
+        Metrics of the node.
     status : callable
         Returns the state of the node.
     members : callable
-        Returns the node's view of the members.
+        Returns the members of the fleet as this node sees them.
     fleet : FleetSource
-        What other nodes say.
+        Reports that include other nodes.
     on_announcement : callable
-        Takes what the upstream says; may raise ValueError.
+        Handles an announcement of the upstream; may raise ValueError.
     on_drain : callable
-        Starts the drain.
+        Starts draining the node.
     on_news : callable
-        Told that the table has changed.
+        Called when the rules in the store have changed.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application(client_max_size=64 << 10)
         app.router.add_get("/status", self._get_status)
         app.router.add_get("/members", self._get_members)
@@ -75,7 +75,7 @@
         await web.TCPSite(self._runner, host, port, reuse_address=True).start()
 
     async def stop(self) -> None:
-        """Close."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -98,18 +98,19 @@
 
     async def _get_explain(self, request: web.Request) -> web.Response:
         try:
-            facts = _facts(request)
+            facts = _parse_facts(request)
         except ValueError as error:
             return web.json_response({"error": str(error)}, status=400)
-        found = explain(self._rules.rules, facts)
-        answer = {
+        explanation = explain(self._rules.rules, facts)
+        result = {
             "revision": self._rules.revision,
-            "rule": found.rule.name if found.rule else None,
+            "rule": explanation.rule.name if explanation.rule else None,
             "passed_over": [
-                {"rule": name, "because": list(why)} for name, why in found.passed_over
+                {"rule": name, "because": list(reasons)}
+                for name, reasons in explanation.passed_over
             ],
         }
-        return web.json_response(answer)
+        return web.json_response(result)
 
     async def _post_announce(self, request: web.Request) -> web.Response:
         try:
@@ -128,10 +129,10 @@
         return web.json_response({"reading": True}, status=202)
 
 
-def _facts(request: web.Request) -> RequestFacts:
+def _parse_facts(request: web.Request) -> RequestFacts:
     query = request.query
     if "service" not in query or "operation" not in query:
-        raise ValueError("service and operation are needed")
+        raise ValueError("query parameters service and operation are required")
     return RequestFacts(
         query["service"],
         query["operation"],
--- a/packages/rattanfork-node/rattanfork_node/admin/announcement.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/announcement.py
@@ -1,10 +1,10 @@
-"""What an upstream says of itself."""
+"""Announcement that an upstream sends to the node beside it."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
 
 class Announcement(BaseModel):
-    """What an upstream says of itself to the node beside it."""
+    """Service, address and capacity of an upstream, sent to the node beside it."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
--- a/packages/rattanfork-node/rattanfork_node/admin/fleet.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/fleet.py
@@ -1,15 +1,15 @@
-"""What the admin port tells of other nodes."""
+"""Interface to the reports of the admin port that include other nodes."""
 
 from abc import ABC, abstractmethod
 
 
 class FleetSource(ABC):
-    """Answers that need other nodes' word."""
+    """Builds reports that include other nodes."""
 
     @abstractmethod
     async def revisions(self) -> dict:
-        """Return which revision is in force where."""
+        """Return the rules revision that is in force at each node."""
 
     @abstractmethod
     async def burn(self) -> dict:
-        """Return the totals of the burn report."""
+        """Return the totals of all nodes for the error budget burn report."""
