--- a/packages/rattanfork-node/rattanfork_node/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/__init__.py
@@ -1,1 +1,1 @@
-"""The rattanfork node: the process beside each upstream instance."""
+"""The rattanfork node: the proxy process that runs beside each upstream instance."""
--- a/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -1,4 +1,4 @@
-"""Wires the parts of a node that deal with client accounts."""
+"""Wires client account authentication and quotas of a routing node."""
 
 from random import Random
 
@@ -16,27 +16,27 @@
 
 
 class ClientAccountTasks:
-    """Client accounts, the proof that their keys hold, and their quotas.
+    """Client account authentication, the configuration lease behind it, and quotas.
 
     Parameters
     ==========
 
     random : Random
-        Source of jitter.
+        Source of random delays.
     settings : RelaySettings
-        Bounds.
+        Settings of the request path, including those of quotas.
     configuration : ConfigurationHolder
         The configuration in force.
     lease : ConfigurationLease
-        How recent the proof is that it is the newest.
+        Proof that the configuration in force is recent enough to accept keys.
     membership : Membership
-        Who is there.
+        Members of the fleet.
     member_task : GossipTask
-        Sends and receives datagrams.
+        Sends and receives the datagrams of the quota protocol.
     store : StoreTasks
-        Renews the lease, and knows whether this node has joined.
+        Renews the lease and knows whether this node has joined the fleet.
     counters : Counters
-        What happened.
+        Event counters.
     """
 
     def __init__(
@@ -50,7 +50,8 @@
         store: StoreTasks,
         counters: Counters,
     ) -> None:
-        # Tokens are void also if the machine was suspended since.
+        # Includes the time in which the machine was suspended, so that quota tokens
+        # expire then too.
         clock = BootClock()
         self._configuration = configuration
         self._lease_task = store.lease
@@ -60,10 +61,10 @@
             membership,
             member_task,
             settings.quota,
-            self._index,
+            self._account_index,
             lambda: store.joined,
         )
-        #: Lets requests in.
+        #: Authenticates requests and applies the quotas.
         self.accounts = ClientAccounts(
             clock,
             configuration,
@@ -76,19 +77,19 @@
         self._lease_task.on_renewed = self.accounts.recheck_waiting
 
     def on_member(self, member: Member, before: MemberStatus | None) -> None:
-        """Take note of a member that came, went or is suspected."""
+        """Handle a member's change of status."""
         self._quota.on_status_change(member, before)
 
     def on_configuration(self) -> None:
-        """Take note that another configuration came into force."""
+        """Recheck the waiting requests against a new configuration."""
         self.accounts.recheck_waiting()
 
     def tick(self) -> None:
-        """Carry on; call ten times a second."""
+        """Run periodic work; call ten times a second."""
         self._lease_task.tick()
         self._quota.tick()
         self.accounts.tick()
 
-    def _index(self) -> AccountIndex | None:
-        current = self._configuration.current
-        return None if current is None else current.accounts
+    def _account_index(self) -> AccountIndex | None:
+        configuration = self._configuration.current
+        return None if configuration is None else configuration.accounts
--- a/packages/rattanfork-node/rattanfork_node/app/fleet.py
+++ b/packages/rattanfork-node/rattanfork_node/app/fleet.py
@@ -1,4 +1,4 @@
-"""What a node can say of the others, by asking a bounded number of them."""
+"""Reports over the fleet, from the replies of a bounded number of nodes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,28 +12,28 @@
 from rattanfork_node.admin.fleet import FleetSource
 from rattanfork_node.peer import LinkLostError, PeerPool
 
-#: Most nodes asked for one report; of a larger fleet a sample is drawn.
-MOST_ASKED = 200
-_AT_ONCE = 32
-_TIMEOUT = 2.0
+#: Maximum number of nodes queried for one report; a larger fleet is sampled.
+MAX_QUERIED = 200
+_MAX_CONCURRENT = 32
+_QUERY_TIMEOUT = 2.0
 
-Answer = TypeVar("Answer")
+Reply = TypeVar("Reply")
 
 
 class FleetView(FleetSource):
-    """Asks other nodes for reports.
+    """Builds reports by querying other nodes.
 
     Parameters
     ==========
 
     membership : Membership
-        Who is there.
+        Members of the fleet.
     pool : PeerPool
         Connections to other nodes.
     rules : RevisionState
-        The rules in force here.
+        The rules in force at this node.
     burn : BurnMeter
-        What this node has seen of the objectives.
+        This node's counts of requests against the objectives.
     """
 
     def __init__(
@@ -49,60 +49,60 @@
         self._burn = burn
 
     async def revisions(self) -> dict:
-        """Return which revision is in force where."""
-        mine = self._rules.revision
+        """Return the rules revision that is in force at each node."""
+        own_revision = self._rules.revision
         known = 1 << 62
 
-        async def ask(member: Member) -> int:
+        async def query(member: Member) -> int:
             address = (member.host, member.peer_port)
             _, reply = await self._pool.ask_rules(address, known)
             return reply.revision
 
-        answers = await self._ask_all(ask)
-        answers[self._membership.me.name] = mine
+        replies = await self._query_all(query)
+        replies[self._membership.me.name] = own_revision
         return {
             "nodes": [
                 {"node": name, "revision": revision}
-                for name, revision in sorted(answers.items())
+                for name, revision in sorted(replies.items())
             ],
-            "unanswered": sum(r is None for r in answers.values()),
+            "unanswered": sum(r is None for r in replies.values()),
             "members": len(self._membership.present()),
         }
 
     async def burn(self) -> dict:
-        """Return the totals of the burn report."""
+        """Return the totals of all nodes for the error budget burn report."""
 
-        async def ask(member: Member) -> list:
+        async def query(member: Member) -> list:
             reply = await self._pool.ask_burn((member.host, member.peer_port))
             return reply.totals
 
-        answers = await self._ask_all(ask)
-        answers[self._membership.me.name] = self._burn.totals()
-        known = [totals for totals in answers.values() if totals is not None]
+        replies = await self._query_all(query)
+        replies[self._membership.me.name] = self._burn.totals()
+        known = [totals for totals in replies.values() if totals is not None]
         return {
             "totals": [entry for totals in known for entry in totals],
             "objectives": [o.model_dump() for o in self._rules.rules.objectives],
             "latency": self._burn.latency_quantiles(),
             "answered": len(known),
-            "unanswered": len(answers) - len(known),
+            "unanswered": len(replies) - len(known),
             "members": len(self._membership.present()),
         }
 
-    async def _ask_all(
-        self, ask: Callable[[Member], Awaitable[Answer]]
-    ) -> dict[str, Answer | None]:
+    async def _query_all(
+        self, query: Callable[[Member], Awaitable[Reply]]
+    ) -> dict[str, Reply | None]:
         me = self._membership.me.name
         others = [m for m in self._membership.present() if m.name != me]
-        if len(others) > MOST_ASKED:
-            others = Random().sample(others, MOST_ASKED)
-        gate = asyncio.Semaphore(_AT_ONCE)
+        if len(others) > MAX_QUERIED:
+            others = Random().sample(others, MAX_QUERIED)
+        concurrency = asyncio.Semaphore(_MAX_CONCURRENT)
 
-        async def ask_one(member: Member) -> tuple[str, Answer | None]:
-            async with gate:
+        async def query_one(member: Member) -> tuple[str, Reply | None]:
+            async with concurrency:
                 try:
-                    async with asyncio.timeout(_TIMEOUT):
-                        return member.name, await ask(member)
+                    async with asyncio.timeout(_QUERY_TIMEOUT):
+                        return member.name, await query(member)
                 except (LinkLostError, TimeoutError):
                     return member.name, None
 
-        return dict(await asyncio.gather(*(ask_one(m) for m in others)))
+        return dict(await asyncio.gather(*(query_one(m) for m in others)))
--- a/packages/rattanfork-node/rattanfork_node/app/metrics_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/app/metrics_handler.py
@@ -1,4 +1,4 @@
-"""Serves a node's metrics as text."""
+"""HTTP handler that serves a node's metrics in Prometheus text format."""
 
 from collections.abc import Callable
 
@@ -12,17 +12,17 @@
 
 
 class MetricsHandler(RequestHandler):
-    """Answers with all metrics.
+    """Serves all metrics under ``/metrics``.
 
     Parameters
     ==========
 
     counters : Counters
-        What is counted.
+        Event and request counters.
     gauges : callable
-        Returns the present values of gauges by name.
+        Returns the current gauge values by name.
     objectives : RouteObjectives
-        Callers' requests against the objectives of their routes.
+        Counts of callers' requests within the objectives of their routes.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         self._objectives = objectives
 
     def on_request(self, exchange: Exchange) -> None:
-        """Answer."""
+        """Respond with the metrics, or 404 to other paths."""
         if exchange.path != PATH:
             exchange.respond(404)
             return
-        # Imported here: 3.5 MB and 0.06 s of processor that only nodes which
-        # are asked have to spend.
+        # Imported on first use: costs 3.5 MB and 0.06 s of CPU time, which nodes
+        # that are never scraped save.
         from rattanfork_node.telemetry.prometheus import CONTENT_TYPE, render_metrics
 
         body = render_metrics(self._counters, self._gauges, self._objectives)
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -1,4 +1,4 @@
-"""Wires the parts of a node and runs them."""
+"""Composition root of a node that serves the project's own interface."""
 
 import asyncio
 import os
@@ -34,15 +34,15 @@
 from rattanfork_node.telemetry import Counters, log_change
 from rattanfork_node.telemetry.metrics import Metrics
 
-_TICK = 0.1
-#: Seconds between the announcement of leaving and the close of the edge.
-_LEAVE_PAUSE = 0.5
-#: Refused connections after which an upstream is taken to be gone.
-_MOST_REFUSED = 3
+_TICK_SECONDS = 0.1
+#: Seconds between announcing the leaving and closing the edge to callers.
+_LEAVE_PROPAGATION = 0.5
+#: Consecutive refused connections after which an upstream is considered gone.
+_MAX_REFUSED = 3
 
 
 class Node:
-    """One node: the composition root.
+    """A node that serves the project's own interface.
 
     Parameters
     ==========
@@ -60,9 +60,9 @@
         self._stop_now = asyncio.Event()
         self._upstream: UpstreamClient | None = None
         self._upstream_url = ""
-        self._announced = 0.0
-        self._make_parts()
-        self._make_tasks()
+        self._announced_at = 0.0
+        self._create_components()
+        self._create_tasks()
 
     async def run(self) -> int:
         """Run until drained; return the exit status."""
@@ -77,12 +77,12 @@
         return status
 
     def drain(self) -> None:
-        """Begin to drain; a second call stops at once."""
+        """Start draining; a second call stops the node immediately."""
         if self._draining.is_set():
             self._stop_now.set()
         self._draining.set()
 
-    def _make_parts(self) -> None:
+    def _create_components(self) -> None:
         settings = self._settings
         key = settings.security.key.encode()
         boot = os.urandom(6).hex()
@@ -128,7 +128,7 @@
             settings.requests.silence,
         )
 
-    def _make_tasks(self) -> None:
+    def _create_tasks(self) -> None:
         settings = self._settings
         self._platform = None
         if settings.platform is not None:
@@ -146,7 +146,7 @@
             self._counters,
         )
         self._handler.connect(self._member)
-        self._config = RulesPoller(
+        self._rules_poller = RulesPoller(
             self._clock,
             self._random,
             self._rules,
@@ -167,7 +167,7 @@
             settings.telemetry.otlp_endpoint,
             settings.telemetry.export_interval,
         )
-        self._make_edge()
+        self._create_edge()
         self._fleet = FleetView(self._membership, self._pool, self._rules, self._burn)
         self._admin = Admin(
             self._rules,
@@ -177,12 +177,12 @@
             self._fleet,
             self._on_announcement,
             self.drain,
-            self._config.read_soon,
+            self._rules_poller.read_soon,
         )
 
-    def _make_edge(self) -> None:
+    def _create_edge(self) -> None:
         settings = self._settings
-        hints = ThresholdCache(self._clock)
+        threshold_cache = ThresholdCache(self._clock)
         directory = InstanceDirectory(self._clock, self._random, self._membership)
         epochs = EpochBook(self._clock)
         dispatcher = Dispatcher(
@@ -191,7 +191,7 @@
             directory,
             self._pool,
             self._guard,
-            hints,
+            threshold_cache,
             epochs,
         )
         issuer = KeyIssuer(
@@ -211,7 +211,7 @@
             directory,
             dispatcher,
             self._guard,
-            hints,
+            threshold_cache,
             self._mint,
             self._counters,
             self._burn,
@@ -253,19 +253,19 @@
         while True:
             self._guard.tick()
             self._member.tick()
-            self._config.tick()
+            self._rules_poller.tick()
             self._pool.heartbeat()
-            self._check_upstream()
+            self._check_upstream_alive()
             self._metrics.flush()
-            await asyncio.sleep(_TICK)
+            await asyncio.sleep(_TICK_SECONDS)
 
     async def _drain(self) -> int:
         log_change("draining", busy=self._guard.busy)
         self._member.leave()
         self._guard.leave()
-        # Others hear of the leaving first; until they have, what they still
-        # send is refused as not run and goes to another instance.
-        await asyncio.sleep(_LEAVE_PAUSE)
+        # Other nodes must learn of the leaving first.  Calls that they send until
+        # then are refused as not run, and they retry them at another instance.
+        await asyncio.sleep(_LEAVE_PROPAGATION)
         self._edge.leave()
         stop = asyncio.ensure_future(self._stop_now.wait())
         done = asyncio.ensure_future(self._finish_in_flight())
@@ -288,7 +288,7 @@
             await asyncio.sleep(0.02)
 
     async def _stop(self) -> None:
-        self._config.close()
+        self._rules_poller.close()
         self._member.close()
         await self._edge.stop()
         await self._admin.stop()
@@ -309,7 +309,7 @@
         if announcement.leaving:
             self.drain()
             return
-        self._announced = self._clock.now()
+        self._announced_at = self._clock.now()
         self._guard.admission.limit.set_slots(announcement.slots)
         if self._upstream_url != announcement.url or self._upstream is None:
             self._replace_upstream(announcement)
@@ -325,23 +325,23 @@
         self._guard.admission.limit.restart_warmup()
         log_change("upstream_announced", url=announcement.url)
         if old is not None:
-            # Requests under way on the old connections still finish.
+            # Requests in flight on the old connections can still finish.
             loop = asyncio.get_running_loop()
             loop.call_later(60, lambda: asyncio.ensure_future(old.close()))
 
-    def _check_upstream(self) -> None:
+    def _check_upstream_alive(self) -> None:
         me = self._membership.me
         if self._settings.upstream is not None and me.ready:
-            quiet = self._clock.now() - self._announced
+            silence = self._clock.now() - self._announced_at
             refused = self._guard.refused_in_a_row
-            gone = refused >= _MOST_REFUSED
-            if gone or quiet > self._settings.upstream.announce_timeout:
-                # Work sent here only costs its sender a retry; the next
-                # announcement brings the upstream back.
+            upstream_down = refused >= _MAX_REFUSED
+            if upstream_down or silence > self._settings.upstream.announce_timeout:
+                # Calls sent here would only cost a retry at another instance.  The
+                # next announcement attaches the upstream again.
                 self._membership.update_me(ready=False)
                 self._guard.attach(None)
                 self._upstream_url = ""
-                log_change("upstream_gone", quiet=round(quiet, 1), refused=refused)
+                log_change("upstream_gone", quiet=round(silence, 1), refused=refused)
 
     def _identity(self) -> dict[str, str]:
         me = self._membership.me
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -1,4 +1,4 @@
-"""What a node does with what other nodes ask."""
+"""Handles the messages that other nodes send to a node."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 class NodePeerHandler(LedgeredPeerHandler):
-    """Answers calls, fences, and questions about rules and members.
+    """Handles calls, cancellations, fences and queries of other nodes.
 
     Parameters
     ==========
@@ -36,13 +36,13 @@
     clock : Clock
         Source of the current time.
     guard : Guard
-        This node's guard.
+        Runs calls at this node's upstream.
     rules : RevisionState
         The rules in force.
     burn : BurnMeter
-        What this node has seen of the objectives.
+        This node's counts of requests against the objectives.
     counters : Counters
-        What happened.
+        Event counters.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._burn = burn
 
     def on_call(self, link: PeerLink, call: Call) -> None:
-        """Run a call and reply on the link."""
+        """Run a call in the background and reply on the link."""
         ledger = self.ledger_for(link, call.number)
         if not 0 <= call.importance < RANK_LIMIT or not 0 <= call.rank < RANK_LIMIT:
             raise FrameError("importance or rank out of range")
@@ -67,13 +67,13 @@
         link.calls[call.number] = task
 
     def on_cancel(self, link: PeerLink, number: int) -> None:
-        """Stop a call."""
+        """Cancel a call."""
         task = link.calls.get(number)
         if task is not None:
             task.cancel()
 
     def on_fence(self, link: PeerLink, fence: Fence | FenceKey) -> None:
-        """Fence and reply."""
+        """Fence calls or a key and reply with the verdicts."""
         self._counters.events["fences"] += 1
         if isinstance(fence, FenceKey):
             verdicts = [self._guard.fence_key(fence.key)]
@@ -82,15 +82,15 @@
         link.send(FenceReply(fence.number, [int(verdict) for verdict in verdicts]))
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
-        """Reply with this node's totals."""
+        """Reply with this node's totals for the burn report."""
         link.send(BurnReply(request.number, self._burn.totals()))
 
     def on_epoch(self, link: PeerLink, request: EpochRequest) -> None:
-        """Reply with the guard's epoch of keys."""
+        """Reply with the current key epoch of the guard."""
         link.send(EpochReply(request.number, self._guard.ledger.epoch))
 
     def on_closed(self, link: PeerLink) -> None:
-        """Stop the calls of a connection that is gone."""
+        """Cancel the calls of a closed connection."""
         super().on_closed(link)
         for task in list(link.calls.values()):
             task.cancel()
@@ -120,8 +120,8 @@
             result = await self._guard.run(request)
             link.send(self._reply(call, result))
         except asyncio.CancelledError:
-            # The sender has given up, or its connection is gone; nobody
-            # waits for a reply.
+            # The sender has cancelled the call or its connection is closed; no
+            # reply is expected.
             return
         finally:
             link.calls.pop(call.number, None)
--- a/packages/rattanfork-node/rattanfork_node/app/prober.py
+++ b/packages/rattanfork-node/rattanfork_node/app/prober.py
@@ -1,23 +1,23 @@
-"""Asks the upstream who it is."""
+"""Probes the upstream of a node for its ID."""
 
 from rattanfork_core.clock import Clock
 
 from rattanfork_node.http1 import HeaderNames, HttpClient
 
-#: Seconds that a probe may take.  It waits for a slot like any request, so a
-#: full upstream answers late; the next announcement then tells as well.
+#: Time-out of a probe in seconds.  A probe waits for a slot like any request, so a busy
+#: upstream may not answer in time; its next announcement then identifies it.
 _PROBE_TIMEOUT = 1.0
 
 
 class UpstreamProber:
-    """Asks the upstream beside this node for its ID.
+    """Probes the upstream beside this node for its ID.
 
     Explanation
     ===========
 
-    A node that is restarted does not know the ID of the upstream, nor whether
-    it had begun to leave.  Announcements tell both, but only after up to a
-    heartbeat interval, in which an upstream at hand would stand idle.
+    A restarted node knows neither the ID of its upstream nor whether it is leaving.
+    Announcements state both, but the next one may be a heartbeat interval away,
+    during which a healthy upstream would stay unused.
 
     Parameters
     ==========
@@ -29,24 +29,24 @@
     port : int
         Its port.
     names : HeaderNames
-        Header that holds the ID.
+        Names of headers, including that of the ID in a probe's response.
     """
 
     def __init__(self, clock: Clock, host: str, port: int, names: HeaderNames) -> None:
-        self._name = names.upstream.lower()
-        self._client = HttpClient(clock, host, port, frozenset((self._name,)))
+        self._id_header = names.upstream.lower()
+        self._client = HttpClient(clock, host, port, frozenset((self._id_header,)))
 
     async def ask(self, path: str) -> str | None:
-        """Return the ID of an upstream that is healthy and stays, or None."""
+        """Return the ID of a healthy upstream; None if there is none or it leaves."""
         try:
-            answer = await self._client.request(
+            response = await self._client.request(
                 b"GET", path.encode(), timeout=_PROBE_TIMEOUT
             )
         except (ConnectionError, TimeoutError, OSError):
             return None
-        name = answer.headers.get(self._name, b"").decode("latin-1")
-        return name if answer.status == 200 and name else None
+        name = response.headers.get(self._id_header, b"").decode("latin-1")
+        return name if response.status == 200 and name else None
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connections."""
         self._client.close()
--- a/packages/rattanfork-node/rattanfork_node/app/readiness.py
+++ b/packages/rattanfork-node/rattanfork_node/app/readiness.py
@@ -1,4 +1,4 @@
-"""Answers whether this node takes new work."""
+"""HTTP handler for readiness checks of a node."""
 
 from collections.abc import Callable
 
@@ -7,18 +7,18 @@
 
 
 class ReadinessHandler(RequestHandler):
-    """Answers 200 while the node takes new work, and 503 otherwise.
+    """Responds 200 while the node accepts new requests, and 503 otherwise.
 
     Parameters
     ==========
 
     is_ready : callable
-        Whether new work is taken.
+        Returns whether new requests are accepted.
     """
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     def on_request(self, exchange: Exchange) -> None:
-        """Answer."""
+        """Respond with the current readiness."""
         exchange.respond(200 if self._is_ready() else 503)
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -1,4 +1,4 @@
-"""Wires the parts of a node that relays by routes, and runs them."""
+"""Composition root of a node that forwards requests by configured routes."""
 
 import asyncio
 import os
@@ -53,43 +53,43 @@
     log_change,
 )
 
-_TICK = 0.1
-#: Ticks between two looks at idle connections.
+_TICK_SECONDS = 0.1
+#: Ticks between two sweeps of idle connections.
 _SWEEP_TICKS = 5
-#: Ticks between two lines that sum up what was counted.
+#: Ticks between two summary lines in the log.
 _SUMMARY_TICKS = 50
-#: Seconds without any answer after which a connection to a node is lost.
-_SILENCE = 0.8
-#: Most bytes of a body between nodes.
-_BODY_LIMIT = 64 << 20
-#: Requests at an instance of the own data centre, for each of its slots, up to
-#: which it is taken without looking further: below it nothing waits there, and
-#: the slots left are for what comes before the next reply tells.
-_LOCAL_LOAD = 0.85
-#: Data centres whose word on the rules replaces the store's: one alone may have
-#: been cut off when the last change was accepted.
+#: Seconds without any message after which a connection to a node is considered lost.
+_SILENCE_LIMIT = 0.8
+#: Maximum size of a body between nodes, in bytes.
+_MAX_BODY_BYTES = 64 << 20
+#: Requests per slot up to which an instance of the own data centre is chosen without
+#: considering other data centres.  Below it no request waits there; the remaining
+#: slots absorb requests that arrive before the next reply reports the load.
+_LOCAL_LOAD_LIMIT = 0.85
+#: Data centres whose nodes must agree on the rules while the store is unavailable.  A
+#: single one may have been partitioned when the last change was accepted.
 _RULES_QUORUM = 2
-#: News is pushed to this many members at once.  In a small fleet that is
-#: most of them, so a change is known within a tenth of a second.
+#: Members to which an update is pushed at once.  In a small fleet that is most of them,
+#: so that a change spreads within 0.1 s.
 _PUSH_FANOUT = 8
 
 
 class RelayNode:
-    """A node that relays by routes: its composition root.
+    """A node that forwards requests by configured routes.
 
     Parameters
     ==========
 
     settings : RelayNodeSettings
-        Checked settings.
+        Validated settings.
     platform : WatchedPlatform
         The store.
     decode : callable
-        Reads a configuration; raises ValueError if it is none.
+        Decodes a configuration; raises ValueError if it is malformed.
     announcement_handler : callable
-        Makes the handler of the address for announcements from this node.
+        Creates the handler for the upstream's announcements.
     writer : LineWriter
-        Where lines about requests go.
+        Output for log lines about requests.
     """
 
     def __init__(
@@ -110,9 +110,9 @@
         self._log = RequestLog(
             writer, LineBudget(self._clock), settings.instance, time.time
         )
-        self._make_parts(decode)
-        self._make_tasks()
-        self._make_servers(announcement_handler)
+        self._create_components(decode)
+        self._create_tasks()
+        self._create_servers(announcement_handler)
 
     async def run(self) -> int:
         """Run until drained; return the exit status."""
@@ -123,43 +123,43 @@
         status = await self._drain()
         ticker.cancel()
         self._stop()
-        self._observer.log_summary()
+        self._state_reporter.log_summary()
         log_change("stopped", status=status)
         return status
 
     def drain(self) -> None:
-        """Begin to drain."""
+        """Start draining."""
         self._draining.set()
 
     @property
     def ready(self) -> bool:
-        """Whether new work of callers is taken."""
-        known = self._store.joined or len(self._membership.present()) > 1
-        held = self._configuration.current is not None and self._rules.ready
-        return known and held and not self._draining.is_set()
+        """Whether new requests of callers are accepted."""
+        fleet_known = self._store.joined or len(self._membership.present()) > 1
+        state_held = self._configuration.current is not None and self._rules.ready
+        return fleet_known and state_held and not self._draining.is_set()
 
     @property
     def upstream_monitor(self) -> UpstreamMonitor:
-        """Takes what the upstream says of itself."""
-        return self._keeper
+        """Handles the announcements of the upstream."""
+        return self._upstream_monitor
 
     def reload(self) -> None:
-        """Take note that the settings may have changed.
+        """Log that changed settings take effect only at the next start.
 
-        Addresses and bounds hold for the life of a process: callers and peers
-        were told of them.  What changed comes into force with the next start.
+        Addresses and limits are fixed for the life of a process, since callers and
+        other nodes already know them.
         """
         log_change("reload", outcome="settings hold until the next start")
 
     def record_malformed(self, what: str, **fields: object) -> None:
-        """Count what another writer has sent, and tell of it within the budget."""
+        """Count malformed input and log it within the line budget."""
         self._counters.events[f"{what}.malformed"] += 1
         if self._log.should_log(b"", plain=False):
             self._log.write(f"{what}_malformed", b"", fields)
 
-    def _make_parts(self, decode: Callable[[bytes], Configuration]) -> None:
+    def _create_components(self, decode: Callable[[bytes], Configuration]) -> None:
         settings = self._settings
-        # Sorts by time, so that of two incarnations the later one is told.
+        # Boot IDs sort by start time, so that the later of two incarnations is known.
         self._boot = f"{time.time_ns() // 1_000_000:012x}{os.urandom(3).hex()}"
         host, port = settings.peers
         me = Member(
@@ -180,14 +180,14 @@
             self._clock,
             self._random,
             me,
-            MembershipSettings(push_fanout=_PUSH_FANOUT, push_interval=_TICK),
+            MembershipSettings(push_fanout=_PUSH_FANOUT, push_interval=_TICK_SECONDS),
         )
-        self._reports = GateReportTable(self._clock, me.name)
+        self._gate_reports = GateReportTable(self._clock, me.name)
         self._quarantine = Quarantine(self._clock)
         self._membership.on_status = self._on_member
         self._lease = ConfigurationLease(BootClock())
         self._objectives = RouteObjectives(self._clock)
-        self._journal = DecisionLog(
+        self._decision_log = DecisionLog(
             self._clock,
             self._log,
             self._counters,
@@ -201,7 +201,7 @@
             self._boot,
             settings.names,
             self._counters,
-            self._journal,
+            self._decision_log,
             RepeatGrants(
                 self._clock,
                 relay.retry_budget_ratio,
@@ -218,12 +218,12 @@
             self._counters,
         )
         self._pool = PeerPool(
-            lambda: self._make_link(connecting=True), self._clock, _SILENCE
+            lambda: self._make_link(connecting=True), self._clock, _SILENCE_LIMIT
         )
 
-    def _make_tasks(self) -> None:
+    def _create_tasks(self) -> None:
         settings = self._settings
-        self._member = GossipTask(
+        self._gossip_task = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -232,14 +232,14 @@
             [],
             self._counters,
         )
-        self._handler.connect(self._member)
-        self._gate_news = GateReportTask(
-            self._reports, self._membership, self._member, self._gate
+        self._handler.connect(self._gossip_task)
+        self._gate_report_task = GateReportTask(
+            self._gate_reports, self._membership, self._gossip_task, self._gate
         )
         self._quarantine_task = QuarantineTask(
             self._quarantine,
             self._membership,
-            self._member,
+            self._gossip_task,
             self._platform,
             self._random,
             self._gate.has_succeeded,
@@ -254,31 +254,31 @@
             self._configuration,
             self._rules,
             self._membership,
-            self._member,
+            self._gossip_task,
             self._pool,
             self._counters,
             self._quarantine_task.merge_record,
             self._quarantine_task.persist_all,
             self._lease,
         )
-        self._account_parts = ClientAccountTasks(
+        self._account_tasks = ClientAccountTasks(
             self._random,
             settings.relay,
             self._configuration,
             self._lease,
             self._membership,
-            self._member,
+            self._gossip_task,
             self._store,
             self._counters,
         )
         self._prober = UpstreamProber(self._clock, *settings.upstream, settings.names)
 
-    def _make_servers(
+    def _create_servers(
         self, announcement_handler: Callable[["RelayNode"], RequestHandler]
     ) -> None:
         settings = self._settings
         self._directory = InstanceDirectory(
-            self._clock, self._random, self._membership, _LOCAL_LOAD
+            self._clock, self._random, self._membership, _LOCAL_LOAD_LIMIT
         )
         self._relay = Relay(
             self._clock,
@@ -292,12 +292,12 @@
             self._pool,
             self._gate,
             self._counters,
-            self._journal,
-            self._reports,
+            self._decision_log,
+            self._gate_reports,
             self._quarantine,
-            self._account_parts.accounts,
+            self._account_tasks.accounts,
         )
-        self._observer = StateReporter(
+        self._state_reporter = StateReporter(
             self._clock,
             self._log,
             self._counters,
@@ -310,7 +310,7 @@
             lambda: self._store.confirmed_age,
             lambda: self.ready,
         )
-        self._keeper = UpstreamMonitor(
+        self._upstream_monitor = UpstreamMonitor(
             self._clock,
             self._gate,
             self._membership,
@@ -335,7 +335,9 @@
             self._clock,
             settings.names,
             RequestLimits(),
-            MetricsHandler(self._counters, self._observer.gauges, self._objectives),
+            MetricsHandler(
+                self._counters, self._state_reporter.gauges, self._objectives
+            ),
         )
 
     def _make_link(self, connecting: bool) -> PeerLink:
@@ -345,7 +347,7 @@
             self._membership.me.name,
             self._settings.relay.data_centre,
             self._handler,
-            _BODY_LIMIT,
+            _MAX_BODY_BYTES,
             connecting,
         )
 
@@ -355,7 +357,7 @@
         self._peer_listener = await loop.create_server(
             lambda: self._make_link(connecting=False), host, port
         )
-        await self._member.start(host, port)
+        await self._gossip_task.start(host, port)
         for (server_host, server_port), server in self._servers:
             await server.start(server_host, server_port)
         await self._start_metrics()
@@ -367,8 +369,8 @@
         try:
             await self._metrics.start(*self._settings.metrics)
         except OSError as error:
-            # Somebody else has the port; a node that can't be watched there
-            # still has its logs, and one that does not start serves nobody.
+            # The port is in use.  Metrics are optional: the node still serves
+            # requests and writes its logs.
             log_change("metrics_not_served", error=str(error))
 
     async def _tick_forever(self) -> None:
@@ -376,18 +378,18 @@
         while True:
             ticks += 1
             self._gate.tick()
-            self._member.tick()
-            self._gate_news.tick()
+            self._gossip_task.tick()
+            self._gate_report_task.tick()
             self._quarantine_task.tick()
-            self._account_parts.tick()
+            self._account_tasks.tick()
             self._pool.heartbeat()
-            self._keeper.tick()
+            self._upstream_monitor.tick()
             self._log.flush()
             if ticks % _SWEEP_TICKS == 0:
                 self._sweep()
             if ticks % _SUMMARY_TICKS == 0:
-                self._observer.log_summary()
-            await asyncio.sleep(_TICK)
+                self._state_reporter.log_summary()
+            await asyncio.sleep(_TICK_SECONDS)
 
     def _sweep(self) -> None:
         self._objectives.roll()
@@ -395,28 +397,32 @@
         for _, server in self._servers:
             server.sweep()
         self._metrics.sweep()
-        gates = self._directory.instance_count(self._settings.relay.service)
-        self._gate.grants.share_among(gates)
+        gate_count = self._directory.instance_count(self._settings.relay.service)
+        self._gate.grants.share_among(gate_count)
 
     def _on_member(self, member: Member, before: MemberStatus | None) -> None:
-        self._observer.on_member(member, before)
-        self._account_parts.on_member(member, before)
+        self._state_reporter.on_member(member, before)
+        self._account_tasks.on_member(member, before)
 
     def _on_configuration(self, configuration: Configuration) -> None:
-        self._observer.on_configuration()
+        self._state_reporter.on_configuration()
         self._callers.limits = RequestLimits(
             configuration.max_head_bytes,
             configuration.max_body_bytes,
             configuration.head_timeout,
             configuration.idle_timeout,
         )
-        self._account_parts.on_configuration()
+        self._account_tasks.on_configuration()
 
     async def _drain(self) -> int:
         shutdown = Shutdown(
-            self._clock, self._settings.grace, self._member, self._gate, self._callers
+            self._clock,
+            self._settings.grace,
+            self._gossip_task,
+            self._gate,
+            self._callers,
         )
-        self._keeper.close()
+        self._upstream_monitor.close()
         ends_at = shutdown.begin()
         self._relay.drain(DrainPolicy(self._clock, ends_at, shutdown.serves_until))
         removal = asyncio.ensure_future(self._store.leave())
@@ -427,7 +433,7 @@
     def _stop(self) -> None:
         self._quarantine_task.close()
         self._store.close()
-        self._member.close()
+        self._gossip_task.close()
         for _, server in self._servers:
             server.stop()
         self._metrics.stop()
--- a/packages/rattanfork-node/rattanfork_node/app/relay_settings.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node that relays by routes."""
+"""Settings of a node that forwards requests by configured routes."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayNodeSettings:
-    """Settings of a node that relays by routes.
+    """Settings of a node that forwards requests by configured routes.
 
     Parameters
     ==========
@@ -18,28 +18,29 @@
     instance : str
         Name of the instance.
     callers : pair
-        Address for callers and for the calls of the upstream.
+        Address for requests of callers and for calls made by the upstream.
     readiness : pair
-        Address at which readiness is asked for.
+        Address of the readiness check.
     announcements : pair
-        Address at which the upstream announces itself.
+        Address that receives the upstream's announcements.
     peers : pair
-        Address for streams and datagrams between nodes.
+        Address for TCP connections and UDP datagrams between nodes.
     upstream : pair
         Address of the upstream.
     relay : RelaySettings
-        Bounds of the path of a request.
+        Settings of the request path.
     names : HeaderNames
-        Headers to read and set.
+        Names of the headers to read and set.
     fleet_key : bytes
-        Secret that all nodes share.
+        Secret shared by all nodes, which authenticates their messages.
     configuration_table, configuration_key : str
-        The row that holds the configuration.
+        Table and key of the store row that holds the configuration.
     data_centres : int
-        Data centres of the deployment.  While the store is away, a fresh node
-        takes the rules on the word of two of them, or of the only one.
+        Number of data centres of the deployment.  While the store is unavailable, a
+        new node accepts rules that nodes of two data centres hold, or of one if
+        there is only one.
     metrics : pair or None
-        Address at which metrics are served; None for nowhere.
+        Address at which metrics are served; None to serve none.
     grace : float
         Seconds from SIGTERM until the process is killed.
     """
--- a/packages/rattanfork-node/rattanfork_node/app/shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/shutdown.py
@@ -1,4 +1,4 @@
-"""How a node by routes ends without cutting anything off."""
+"""Graceful shutdown of a routing node."""
 
 import asyncio
 
@@ -9,24 +9,32 @@
 from rattanfork_node.relay import Gate
 from rattanfork_node.telemetry import log_change
 
-#: Part of the grace for which runs are still taken after SIGTERM.  The upstream
-#: goes on while its node is restarted; where instances are restarted in turn,
-#: each that is away longer than the next one waits takes two away at once.
-_TAKE_RUNS_SHARE = 0.27
-#: Seconds after the others were told for which runs are still taken: until then
-#: all have heard, and what they sent before need not be sent again.
-_TELL_TIME = 0.4
-#: Seconds after SIGTERM for which callers are served at least: readiness is
-#: asked for each second, and two refusals take a node out.
-_SERVE_FOR = 2.6
-#: Part of the grace after which the process ends whatever is in flight.
-_GRACE_SHARE = 0.85
-#: Seconds between two looks at what is still in flight.
-_LOOK = 0.05
+#: Share of the grace period after SIGTERM during which runs from other nodes are still
+#: accepted.  The upstream keeps running while its node restarts.  In a rolling restart,
+#: an instance that is unavailable for longer than the interval between two restarts
+#: is missing together with the next one.
+_ACCEPT_RUNS_SHARE = 0.27
+#: Seconds after the announcement of leaving during which runs are still accepted.  By
+#: then all nodes have received it, so that no call has to be retried elsewhere.
+_PROPAGATION_TIME = 0.4
+#: Minimum time in seconds after SIGTERM for which callers are served.  Readiness is
+#: checked every second, and two failed checks take a node out of service.
+_MIN_SERVING_TIME = 2.6
+#: Share of the grace period after which the process exits even with requests in flight.
+_EXIT_SHARE = 0.85
+#: Seconds between two checks of the requests in flight.
+_POLL_INTERVAL = 0.05
 
 
 class Shutdown:
-    """Waits for what is in flight, and tells the others in good time.
+    """Drains a node: announces its leaving and waits for the requests in flight.
+
+    Explanation
+    ===========
+
+    For a share of the grace period the node still accepts runs from other nodes.  It
+    then announces its leaving over gossip and closes the gate once all nodes have
+    received that.  Callers are served until readiness checks have failed twice.
 
     Parameters
     ==========
@@ -36,11 +44,11 @@
     grace : float
         Seconds between SIGTERM and SIGKILL.
     member : GossipTask
-        Tells the others that this node leaves.
+        Announces to other nodes that this one leaves.
     gate : Gate
-        What runs at the upstream.
+        Gate of the upstream, which holds the runs in flight.
     callers : HttpServer
-        What callers wait for.
+        Server for callers, which holds their requests in flight.
     """
 
     def __init__(
@@ -59,40 +67,40 @@
 
     @property
     def serves_until(self) -> float:
-        """Until when callers are served at least."""
-        return self._began + _SERVE_FOR
+        """Time until which callers are served at least."""
+        return self._began_at + _MIN_SERVING_TIME
 
     def begin(self) -> float:
-        """Begin to leave; return when the process ends at the latest."""
+        """Begin the shutdown; return the latest time at which the process exits."""
         log_change(
             "draining", runs=self._gate.outstanding, requests=self._callers.in_flight
         )
-        self._began = self._clock.now()
+        self._began_at = self._clock.now()
         self._gate.leave()
         self._callers.leave()
-        return self._end
+        return self._exit_at
 
     async def finish(self) -> int:
-        """Wait until nothing is in flight; return the exit status."""
-        tell_at = self._began + _TAKE_RUNS_SHARE * self._grace
-        told = False
-        while (now := self._clock.now()) < self._end:
-            if now >= tell_at and not told:
-                told = True
+        """Wait until nothing is in flight; return 0, or 1 if requests were cut off."""
+        announce_at = self._began_at + _ACCEPT_RUNS_SHARE * self._grace
+        announced = False
+        while (now := self._clock.now()) < self._exit_at:
+            if now >= announce_at and not announced:
+                announced = True
                 self._member.leave()
-            if now >= tell_at + _TELL_TIME and self._gate.accepting:
+            if now >= announce_at + _PROPAGATION_TIME and self._gate.accepting:
                 self._gate.detach()
-            if now - self._began > _SERVE_FOR and not self._in_flight:
+            if now - self._began_at > _MIN_SERVING_TIME and not self._in_flight:
                 break
-            await asyncio.sleep(_LOOK)
+            await asyncio.sleep(_POLL_INTERVAL)
         if not self._in_flight:
             return 0
         log_change("cut_off", runs=self._gate.outstanding, requests=self._in_flight)
         return 1
 
     @property
-    def _end(self) -> float:
-        return self._began + _GRACE_SHARE * self._grace
+    def _exit_at(self) -> float:
+        return self._began_at + _EXIT_SHARE * self._grace
 
     @property
     def _in_flight(self) -> int:
--- a/packages/rattanfork-node/rattanfork_node/app/state_reporter.py
+++ b/packages/rattanfork-node/rattanfork_node/app/state_reporter.py
@@ -1,4 +1,4 @@
-"""Tells of a node's own state: gauges, sums, and news of members."""
+"""Reports the state of a routing node to its log and metrics."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class StateReporter:
-    """Reads a node's state for its log and its metrics.
+    """Logs summaries and membership changes, and provides gauges.
 
     Parameters
     ==========
@@ -23,26 +23,27 @@
     clock : Clock
         Source of the current time.
     log : RequestLog
-        Where news of members goes, within the same budget as requests: when a
-        region is lost thousands change at once.
+        Log for membership changes.  They share the line budget of requests, since
+        the loss of a region changes thousands of members at once.
     counters : Counters
-        What happened.
+        Event counters.
     membership : Membership
-        Who is there.
+        Members of the fleet.
     gate : Gate
-        This node's gate.
+        Gate of this node's upstream.
     quarantine : Quarantine
-        The requests that no upstream may run.
+        Fingerprints of requests that no upstream may execute.
     configuration : ConfigurationHolder
         The configuration in force.
     rules : RevisionState
-        The ordered rules in force.
+        The rules in force.
     platform : WatchedPlatform
         The store.
     confirmed_age : callable
-        Returns the seconds since the store held nothing newer than this node.
+        Returns the seconds since the store was last confirmed to hold nothing newer
+        than this node.
     is_ready : callable
-        Whether new work of callers is taken.
+        Returns whether new requests of callers are accepted.
     """
 
     def __init__(
@@ -73,25 +74,25 @@
         self._configuration_since = clock.now()
 
     def on_configuration(self) -> None:
-        """Take note that another configuration came into force."""
+        """Record when the new configuration came into force."""
         self._configuration_since = self._clock.now()
 
     def on_member(self, member: Member, before: MemberStatus | None) -> None:
-        """Tell of a member that came, went or is suspected."""
-        unknown_and_gone = before is None and member.status == MemberStatus.DEAD
-        if unknown_and_gone or member.name == self._membership.me.name:
+        """Log a member's change of status, within the line budget."""
+        first_seen_dead = before is None and member.status == MemberStatus.DEAD
+        if first_seen_dead or member.name == self._membership.me.name:
             return
         if self._log.should_log(b"", plain=False):
             fields = {
                 "member": member.name,
                 "service": member.service,
-                "status": _label(member.status),
-                "before": "unknown" if before is None else _label(before),
+                "status": _status_label(member.status),
+                "before": "unknown" if before is None else _status_label(before),
             }
             self._log.write("member", b"", fields)
 
     def log_summary(self) -> None:
-        """Write what was counted since the start; its size is bounded."""
+        """Log the counters since the start; the size of the line is bounded."""
         snapshot = self._counters.snapshot()
         log_change(
             "counted",
@@ -111,21 +112,24 @@
         )
 
     def _store_pending(self) -> list[dict[str, object]]:
-        """Return the calls that wait: a call is counted only when it has ended."""
+        """Return the unanswered store calls; counters hold only completed ones."""
         return [
             {
                 "call": pending.call,
                 "waited_s": round(pending.waited, 2),
-                "rested_s": _rounded(pending.rested),
+                "rested_s": _round_seconds(pending.rested),
             }
             for pending in self._platform.pending
         ]
 
     def gauges(self) -> dict[str, float]:
-        """Return the present state by name."""
+        """Return the current gauge values by name."""
         members = Counter(m.status for m in self._membership.members.values())
         return {
-            **{f"members_{_label(status)}": members[status] for status in MemberStatus},
+            **{
+                f"members_{_status_label(status)}": members[status]
+                for status in MemberStatus
+            },
             "running": self._gate.outstanding - self._gate.waiting,
             "waiting": self._gate.waiting,
             "slots": self._gate.slots,
@@ -145,9 +149,9 @@
         }
 
 
-def _rounded(seconds: float | None) -> float | None:
+def _round_seconds(seconds: float | None) -> float | None:
     return None if seconds is None else round(seconds, 2)
 
 
-def _label(status: int) -> str:
+def _status_label(status: int) -> str:
     return MemberStatus(status).name.lower()
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of a node that speak to the store."""
+"""Wires the tasks of a routing node that read and write the store."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -23,13 +23,13 @@
 from rattanfork_node.peer import PeerPool
 from rattanfork_node.telemetry import Counters
 
-#: Nodes of each data centre that watch the store and ask it in turn: enough that
-#: those of one data centre are not all down, paused or turned away at a time.
-_READERS = 4
+#: Nodes of each data centre that watch and query the store on behalf of all: enough
+#: that not all of them are down, paused or rejected by the store at the same time.
+_READERS_PER_DATA_CENTRE = 4
 
 
 class StoreTasks:
-    """What a node reads of the store and writes there, from start to stop.
+    """Tasks for joining, configuration, rules, confirmation, lease and restore.
 
     Parameters
     ==========
@@ -37,7 +37,7 @@
     clock : Clock
         Source of the current time.
     random : Random
-        Source of choices and jitter.
+        Source of random choices and delays.
     platform : WatchedPlatform
         The store.
     row : pair of str
@@ -47,19 +47,19 @@
     rules : RevisionState
         The rules in force.
     membership : Membership
-        Who is there.
+        Members of the fleet.
     member_task : GossipTask
-        Tells other nodes what this one holds, and hears them.
+        Exchanges versions of configuration and rules with other nodes.
     pool : PeerPool
         Connections to other nodes.
     counters : Counters
-        What happened.
+        Event counters.
     on_quarantine : callable
-        Gets what instances have kept of the quarantine.
+        Called with the quarantine records that nodes have persisted.
     persist_quarantine : callable
-        Writes what is quarantined to the store; awaited.
+        Coroutine function that writes the quarantine to the store.
     lease : ConfigurationLease
-        How recent the proof is that the configuration in force is the newest.
+        Proof that the configuration in force is recent enough to accept keys.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     ) -> None:
         self._configuration = configuration
         self._rules = rules
-        roster = RoleAssignment(membership, "confirmation", _READERS)
+        roster = RoleAssignment(membership, "confirmation", _READERS_PER_DATA_CENTRE)
         self._join = JoinTask(random, platform, membership, member_task, on_quarantine)
         self._configuration_task = ConfigurationTask(
             clock,
@@ -95,7 +95,7 @@
             lambda: roster.includes_self,
             lease,
         )
-        self._rules_watch = RulesWatcher(
+        self._rules_watcher = RulesWatcher(
             random,
             rules,
             platform,
@@ -111,7 +111,7 @@
             ConfirmationSchedule(BootClock(), random),
             roster,
             member_task,
-            (self._configuration_task, self._rules_watch),
+            (self._configuration_task, self._rules_watcher),
             counters,
         )
         #: Renews the lease on the configuration.
@@ -127,40 +127,40 @@
         self._restore = RestoreTask(
             random, platform, roster, membership, rules, persist_quarantine, counters
         )
-        membership.cached_versions = self._held
+        membership.cached_versions = self._cached_versions
         member_task.on_cached_versions = self._confirmation.on_cached_versions
 
     @property
     def joined(self) -> bool:
-        """Whether the store has this node's record, and this node the others'."""
+        """Whether this node's record is in the store and the others' were read."""
         return self._join.joined
 
     @property
     def confirmed_age(self) -> float:
-        """Seconds since the store held nothing newer than this node."""
+        """Seconds since a confirmation that the store holds nothing newer."""
         return self._confirmation.age
 
     def start(self) -> None:
-        """Begin."""
+        """Start all tasks."""
         self._join.start()
         self._configuration_task.start()
-        self._rules_watch.start()
+        self._rules_watcher.start()
         self._confirmation.start()
         self._restore.start()
 
     async def leave(self) -> None:
-        """Remove this node's record."""
+        """Remove this node's record from the store."""
         await self._join.leave()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop all tasks."""
         self._configuration_task.close()
-        self._rules_watch.close()
+        self._rules_watcher.close()
         self._confirmation.close()
         self._restore.close()
         self._join.close()
 
-    def _held(self) -> CachedVersions:
+    def _cached_versions(self) -> CachedVersions:
         return CachedVersions(
             self._configuration.version,
             self._rules.order,
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""In which order a node that is told to stop leaves."""
+"""Tests of the order and timing of a node's shutdown."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 GRACE = 6.0
 
 
-class PassingTime(Clock):
-    """A clock that moves on by a step each time it is read."""
+class SteppingClock(Clock):
+    """A clock that advances by 0.05 s each time it is read."""
 
     def __init__(self) -> None:
         self.seconds = 100.0
@@ -20,70 +20,69 @@
         return self.seconds
 
     @property
-    def passed(self) -> float:
+    def elapsed(self) -> float:
         return self.seconds - 100.0
 
 
-class World:
-    """A node that is told to stop; what it does is noted with its time."""
+class DrainingNode:
+    """Gate, server and gossip of a node; records when they are told to leave."""
 
-    def __init__(self, busy_for: float = 0.0) -> None:
-        self.clock = PassingTime()
-        self.busy_for = busy_for
+    def __init__(self, busy_seconds: float = 0.0) -> None:
+        self.clock = SteppingClock()
+        self.busy_seconds = busy_seconds
         self.accepting = True
-        self.done: dict[str, float] = {}
+        self.events: dict[str, float] = {}
 
     @property
     def outstanding(self) -> int:
-        return int(self.clock.passed < self.busy_for)
+        return int(self.clock.elapsed < self.busy_seconds)
 
     @property
     def in_flight(self) -> int:
         return self.outstanding
 
     def leave(self) -> None:
-        """Stand for the gate, the server and the task of the members."""
-        self.done["left"] = self.clock.passed
+        """Called as method of the gate, the server and the gossip task."""
+        self.events["left"] = self.clock.elapsed
 
     def detach(self) -> None:
         self.accepting = False
-        self.done["detached"] = self.clock.passed
+        self.events["detached"] = self.clock.elapsed
 
-    def play(self) -> int:
+    def shut_down(self) -> int:
         shutdown = Shutdown(self.clock, GRACE, self, self, self)
         shutdown.begin()
         return asyncio.run(shutdown.finish())
 
 
 @pytest.fixture(autouse=True)
-def no_waiting(monkeypatch):
-    monkeypatch.setattr("rattanfork_node.app.shutdown._LOOK", 0.0)
+def no_poll_delay(monkeypatch):
+    monkeypatch.setattr("rattanfork_node.app.shutdown._POLL_INTERVAL", 0.0)
 
 
-def test_runs_are_taken_for_a_while_after_a_node_was_told_to_stop():
-    """Nodes before one service are restarted in turn, two seconds apart.
+def test_draining_node_accepts_runs_until_its_leaving_has_spread():
+    """Guards against two of three instances being unavailable in a rolling restart.
 
-    One that told the others at once was away for 3.4 s, and the next one
-    followed after two: only one of three instances was left.  So runs are taken
-    on, then the others are told, and only when they have heard the gate shuts.
+    The nodes restart 2 s apart.  One that announced its leaving at once was
+    unavailable for 3.4 s, beyond the restart of the next one.
     """
-    world = World(busy_for=4.0)
-    assert world.play() == 0
-    assert 1.5 < world.done["left"] < 2.0
-    assert world.done["detached"] > world.done["left"] + 0.39
+    node = DrainingNode(busy_seconds=4.0)
+    assert node.shut_down() == 0
+    assert 1.5 < node.events["left"] < 2.0
+    assert node.events["detached"] > node.events["left"] + 0.39
 
 
-def test_an_idle_node_goes_on_until_clients_know_that_it_leaves():
-    """Readiness is asked for each second, and two refusals take a node out.
+def test_idle_draining_node_serves_until_two_readiness_checks_failed():
+    """Guards against connections refused at the port of a node that exited early.
 
-    A process that ends sooner leaves clients who still send to a closed port.
+    Clients check readiness every second and stop using a node after two failures.
     """
-    world = World()
-    assert world.play() == 0
-    assert 2.5 < world.clock.passed < 3.0
+    node = DrainingNode()
+    assert node.shut_down() == 0
+    assert 2.5 < node.clock.elapsed < 3.0
 
 
-def test_what_never_ends_is_cut_off_before_the_process_is_killed():
-    world = World(busy_for=1e9)
-    assert world.play() == 1
-    assert 0.8 * GRACE < world.clock.passed < GRACE
+def test_endless_request_is_cut_off_before_the_process_is_killed():
+    node = DrainingNode(busy_seconds=1e9)
+    assert node.shut_down() == 1
+    assert 0.8 * GRACE < node.clock.elapsed < GRACE
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
@@ -1,4 +1,4 @@
-"""Which upstream a node hands work to: announcements, probes and restarts."""
+"""Tests of attaching and detaching upstreams by announcements and probes."""
 
 import asyncio
 from random import Random
@@ -17,7 +17,7 @@
 
 
 class FakeProber:
-    """Answers a probe when the test says so."""
+    """Prober whose response the test sets."""
 
     def __init__(self) -> None:
         self.asked = 0
@@ -28,8 +28,8 @@
         return self.answer
 
 
-class World:
-    """A keeper that has just been started, with its gate still closed."""
+class MonitorHarness:
+    """A newly started upstream monitor with a closed gate."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(100.0)
@@ -43,7 +43,7 @@
         )
         holder.offer(b"-")
         self.membership = Membership(self.clock, Random(1), member("me"))
-        self.keeper = UpstreamMonitor(
+        self.monitor = UpstreamMonitor(
             self.clock,
             self.gate,
             self.membership,
@@ -58,14 +58,14 @@
     def announce(
         self, name: str, sequence: int, leaving: bool = False, born: int = 0
     ) -> bool:
-        return self.keeper.on_announcement(
+        return self.monitor.on_announcement(
             Announcement(name, "s", "127.0.0.1", 1, 8, sequence, leaving, 0.0, born)
         )
 
     def probe(self, answer: str | None) -> None:
-        """Let the keeper probe if it wants to, with an answer."""
+        """Advance time; if the monitor probes, complete the probe with ``answer``."""
         self.clock.advance(1.0)
-        self.keeper.tick()
+        self.monitor.tick()
         self.finish(answer)
 
     def finish(self, answer: str | None) -> None:
@@ -75,108 +75,106 @@
 
     @property
     def serving(self) -> str | None:
-        """Name of the upstream that gets new work."""
+        """Name of the upstream that receives new requests."""
         return self.gate.upstream.name if self.gate.accepting else None
 
 
-def test_a_node_restarted_beside_an_upstream_serves_before_it_announces_itself():
-    world = World()
-    world.probe("i1")
-    assert world.serving == "i1"
+def test_restarted_node_attaches_probed_upstream_before_its_announcement():
+    harness = MonitorHarness()
+    harness.probe("i1")
+    assert harness.serving == "i1"
 
 
-def test_a_node_restarted_beside_a_leaving_upstream_hands_it_nothing():
-    """The node that acknowledged the leaving was killed, and knows it no more.
+def test_restarted_node_does_not_attach_leaving_upstream():
+    """Guards against attaching an upstream whose leaving the node has forgotten.
 
-    The upstream refuses probes while it leaves, and says so again with its
-    next announcement; until then nothing is handed over.
+    The node was killed after acknowledging it.  A leaving upstream refuses probes and
+    repeats the announcement of its leaving.
     """
-    world = World()
-    world.probe(None)
-    assert world.serving is None
-    world.announce("i1", 7, leaving=True)
-    world.probe("i1")
-    assert world.serving is None
+    harness = MonitorHarness()
+    harness.probe(None)
+    assert harness.serving is None
+    harness.announce("i1", 7, leaving=True)
+    harness.probe("i1")
+    assert harness.serving is None
 
 
-def test_a_probe_on_its_way_does_not_undo_an_acknowledged_leaving():
-    """A probe was answered just before the upstream said that it leaves."""
-    world = World()
-    world.clock.advance(1.0)
-    world.keeper.tick()
-    world.announce("i1", 3, leaving=True)
-    world.finish("i1")
-    assert world.serving is None
+def test_probe_in_flight_does_not_revert_acknowledged_leaving():
+    """The probe was answered just before the upstream announced its leaving."""
+    harness = MonitorHarness()
+    harness.clock.advance(1.0)
+    harness.monitor.tick()
+    harness.announce("i1", 3, leaving=True)
+    harness.finish("i1")
+    assert harness.serving is None
 
 
-def test_a_late_announcement_of_a_dead_incarnation_changes_nothing():
-    """A crashed incarnation's announcement was held up by a cut link.
+def test_late_announcement_of_dead_incarnation_is_ignored():
+    """Guards against a delayed announcement that replaces the current upstream.
 
-    It comes after its successor at the same address has announced itself.
+    A network partition delayed the announcements of a crashed incarnation until its
+    successor at the same address had announced itself.
     """
-    world = World()
-    world.announce("i1", 5)
-    world.announce("i2", 1)
-    world.announce("i1", 6)
-    world.announce("i1", 7, leaving=True)
-    assert world.serving == "i2"
+    harness = MonitorHarness()
+    harness.announce("i1", 5)
+    harness.announce("i2", 1)
+    harness.announce("i1", 6)
+    harness.announce("i1", 7, leaving=True)
+    assert harness.serving == "i2"
 
 
-def test_who_has_left_is_not_attached_by_a_probe():
-    world = World()
-    world.announce("i1", 1)
-    world.keeper.on_leave("i1")
-    world.probe("i1")
-    assert world.serving is None
+def test_upstream_that_left_is_not_attached_by_probe():
+    harness = MonitorHarness()
+    harness.announce("i1", 1)
+    harness.monitor.on_leave("i1")
+    harness.probe("i1")
+    assert harness.serving is None
 
 
-def test_a_leaving_node_attaches_nobody():
-    world = World()
-    world.keeper.close()
-    world.announce("i1", 1)
-    world.probe("i1")
-    assert world.serving is None
-    assert world.prober.asked == 0
+def test_leaving_node_attaches_no_upstream():
+    harness = MonitorHarness()
+    harness.monitor.close()
+    harness.announce("i1", 1)
+    harness.probe("i1")
+    assert harness.serving is None
+    assert harness.prober.asked == 0
 
 
-def test_an_upstream_that_starts_again_under_its_id_gets_work():
-    """A node stays while its upstream crashes and starts again.
+def test_upstream_restarted_with_same_id_is_attached():
+    """An upstream restarts with its old ID and a new announcement sequence.
 
-    It has the ID it had, and its counts start anew.  The peers hear that it is
-    another, so that they don't take the old one's pace for its own.
+    Its ``succession`` increases, so that other nodes don't apply the performance
+    of the old incarnation to the new one.
     """
-    world = World()
-    world.announce("i1", 9, born=1000)
-    world.announce("i1", 10, leaving=True, born=1000)
-    assert world.serving is None
-    world.announce("i1", 1, born=2000)
-    assert world.serving == "i1"
-    assert world.membership.me.succession == 1
-    world.keeper.on_leave("i1", 1000)
-    world.announce("i1", 11, leaving=True, born=1000)
-    assert world.serving == "i1"
-
-
-def test_a_probe_and_an_announcement_speak_of_one_incarnation():
-    world = World()
-    world.probe("i1")
-    world.announce("i1", 4, born=1000)
-    assert world.membership.me.succession == 0
-    assert world.gate.upstream.born == 1000
-
-
-def test_an_upstream_of_another_service_gets_no_work():
-    """The announcement of another service's upstream reaches this node.
-
-    Attached, it would run requests that are meant for this node's service.
-    """
-    world = World()
+    harness = MonitorHarness()
+    harness.announce("i1", 9, born=1000)
+    harness.announce("i1", 10, leaving=True, born=1000)
+    assert harness.serving is None
+    harness.announce("i1", 1, born=2000)
+    assert harness.serving == "i1"
+    assert harness.membership.me.succession == 1
+    harness.monitor.on_leave("i1", 1000)
+    harness.announce("i1", 11, leaving=True, born=1000)
+    assert harness.serving == "i1"
+
+
+def test_probe_and_announcement_of_same_incarnation_are_merged():
+    harness = MonitorHarness()
+    harness.probe("i1")
+    harness.announce("i1", 4, born=1000)
+    assert harness.membership.me.succession == 0
+    assert harness.gate.upstream.born == 1000
+
+
+def test_upstream_of_another_service_is_not_attached():
+    """Guards against requests being executed by an upstream of another service."""
+    harness = MonitorHarness()
     foreign = Announcement("i9", "other", "127.0.0.1", 1, 8, 1)
-    assert not world.keeper.on_announcement(foreign)
-    assert world.serving is None
+    assert not harness.monitor.on_announcement(foreign)
+    assert harness.serving is None
 
 
-#: Sequence from which an upstream's announcements say that it leaves.
+#: Sequence number from which an upstream's announcements state its leaving.
 LEAVES_AT = 4
 EVENTS = st.lists(
     st.tuples(
@@ -189,24 +187,24 @@
 
 
 @given(EVENTS)
-def test_after_an_acknowledgement_nobody_who_leaves_gets_work(events):
-    """Announcements come late, twice and out of order, with probes in between.
+def test_upstream_gets_no_requests_after_acknowledged_leaving(events):
+    """Announcements are delayed, repeated and reordered, with probes in between.
 
-    Once an upstream has said that it leaves, or that it is gone, and the node
-    has acknowledged that, it gets nothing, whatever comes afterwards.
+    After the node has acknowledged that an upstream leaves or is gone, no later event
+    may attach it.
     """
-    world = World()
-    out: set[str] = set()
+    harness = MonitorHarness()
+    left: set[str] = set()
     for kind, name, sequence in events:
         if kind == "announcement":
             leaving = sequence >= LEAVES_AT
-            world.announce(name, sequence, leaving)
+            harness.announce(name, sequence, leaving)
             if leaving:
-                out.add(name)
+                left.add(name)
         elif kind == "gone":
-            world.keeper.on_leave(name)
-            out.add(name)
+            harness.monitor.on_leave(name)
+            left.add(name)
         else:
-            # One that leaves refuses probes.
-            world.probe(name if kind == "probe" and name not in out else None)
-        assert world.serving not in out
+            # A leaving upstream refuses probes.
+            harness.probe(name if kind == "probe" and name not in left else None)
+        assert harness.serving not in left
--- a/packages/rattanfork-node/rattanfork_node/app/upstream_monitor.py
+++ b/packages/rattanfork-node/rattanfork_node/app/upstream_monitor.py
@@ -1,4 +1,4 @@
-"""Keeps the gate open for the upstream beside this node, and closed without it."""
+"""Attaches the upstream of a node to its gate, and detaches it when it leaves."""
 
 from collections.abc import Callable, Coroutine
 
@@ -12,23 +12,24 @@
 from rattanfork_node.relay.upstream import Upstream
 from rattanfork_node.telemetry import Counters, log_change
 
-#: Slots assumed of an upstream whose announcement has not been heard yet.  Too
-#: many wait inside the upstream for a heartbeat's time at most, or are refused
-#: by it as not run; too few leave it idle just when all begin anew.
-_UNKNOWN_SLOTS = 64
-#: Seconds between two probes of an upstream that is not known.
-_PROBE_PAUSE = 0.4
+#: Slots assumed for an upstream that has not announced itself yet.  If that is too
+#: many, requests wait inside the upstream for one heartbeat interval at most, or it
+#: rejects them as not run.  Too few would leave it idle when all nodes restart.
+_DEFAULT_SLOTS = 64
+#: Seconds between two probes of an upstream that is not identified yet.
+_PROBE_INTERVAL = 0.4
 
 
 class UpstreamMonitor:
-    """Attaches the upstream that announces itself, and lets go of one that leaves.
+    """Attaches the upstream that announces itself and detaches one that leaves.
 
     Explanation
     ===========
 
-    Announcements come once in a heartbeat interval.  A node that was restarted
-    probes its upstream meanwhile, so that one at hand does not stand idle; an
-    upstream that has said that it leaves is never attached by a probe.
+    Announcements arrive once per heartbeat interval.  Until the first one, a restarted
+    node probes its upstream, so that a healthy one is used at once.  A probe never
+    attaches an upstream that has announced its leaving, since the probe may have been
+    answered before that announcement.
 
     Parameters
     ==========
@@ -36,21 +37,21 @@
     clock : Clock
         Source of the current time.
     gate : Gate
-        Opened and closed.
+        Gate to which the upstream is attached.
     membership : Membership
-        Told whether this node's upstream takes work.
+        Informed whether this node's upstream accepts requests.
     configuration : ConfigurationHolder
-        Says how many connections the upstream takes, and where to probe it.
-    prober : Prober
-        Asks the upstream who it is.
+        Configuration with the upstream's connection limit and probe path.
+    prober : UpstreamProber
+        Asks the upstream for its ID.
     service : str
-        The upstream's service.
+        Service of the upstream.
     address : pair
-        Its host and port.
+        Host and port of the upstream.
     counters : Counters
-        What happened.
+        Event counters.
     spawn : callable
-        Runs what must wait.
+        Starts a coroutine in the background.
     """
 
     def __init__(
@@ -74,52 +75,52 @@
         self._address = address
         self._counters = counters
         self._spawn = spawn
-        self._book = AnnouncementTracker()
+        self._tracker = AnnouncementTracker()
         self._closed = False
         self._probing = False
         self._next_probe = 0.0
         self._last_slots = 0
 
     def on_announcement(self, announcement: Announcement) -> bool:
-        """Take in what the upstream says of itself.
+        """Handle an announcement of the upstream.
 
         Returns
         =======
 
         bool
-            False if it is not an upstream of this node's service; requests for
-            the one would be run by the other.
+            False if the upstream belongs to another service than this node; it
+            would execute requests for the wrong service.
         """
         if announcement.service != self._service:
             return False
-        if not self._book.accept(announcement):
+        if not self._tracker.accept(announcement):
             self._counters.events["announcement.late"] += 1
         elif announcement.leaving:
-            self._release("leaving", announcement.upstream)
+            self._detach("leaving", announcement.upstream)
         else:
             self._last_slots = announcement.slots
             self._attach(announcement.upstream, announcement.slots, announcement.born)
         return True
 
     def on_leave(self, upstream: str, born: int | None = None) -> None:
-        """Take note that an upstream has left, which was born then if it says."""
-        known = self._gate.upstream
-        was_current = self._book.retire(upstream, born)
-        attached = known is not None and known.name == upstream
-        if was_current or (attached and self._book.is_retired(upstream)):
-            self._release("left", upstream)
+        """Detach an upstream that has left; ``born`` is its start time if known."""
+        attached_upstream = self._gate.upstream
+        was_current = self._tracker.retire(upstream, born)
+        attached = attached_upstream is not None and attached_upstream.name == upstream
+        if was_current or (attached and self._tracker.is_retired(upstream)):
+            self._detach("left", upstream)
 
     def close(self) -> None:
-        """Attach nothing any more: this node leaves."""
+        """Attach no upstream from now on, since this node leaves."""
         self._closed = True
 
     def tick(self) -> None:
-        """Probe the upstream if it is not known; call some times a second."""
+        """Probe the upstream if it is not identified; call several times a second."""
         configuration = self._configuration.current
-        needed = self._gate.misdirected or (
-            self._gate.upstream is None and self._book.current is None
+        probe_needed = self._gate.misdirected or (
+            self._gate.upstream is None and self._tracker.current is None
         )
-        if not needed or configuration is None or self._probing or self._closed:
+        if not probe_needed or configuration is None or self._probing or self._closed:
             return
         if self._clock.now() < self._next_probe:
             return
@@ -131,29 +132,31 @@
     async def _probe(self, path: str) -> None:
         name = await self._prober.ask(path)
         self._probing = False
-        self._next_probe = self._clock.now() + _PROBE_PAUSE
-        if name is None or self._book.is_retired(name):
+        self._next_probe = self._clock.now() + _PROBE_INTERVAL
+        if name is None or self._tracker.is_retired(name):
             return
-        current = self._book.current
+        current = self._tracker.current
         if current is not None and current.upstream == name:
             if current.leaving:
                 return
         elif current is not None and not self._gate.misdirected:
             return
-        self._attach(name, self._last_slots or _UNKNOWN_SLOTS)
+        self._attach(name, self._last_slots or _DEFAULT_SLOTS)
 
     def _attach(self, name: str, slots: int, born: int = 0) -> None:
         if self._closed:
             return
-        known = self._gate.upstream
+        attached_upstream = self._gate.upstream
         upstream = Upstream(name, *self._address, slots, born)
-        replaced = known is not None and not upstream.is_same_incarnation(known)
+        replaced = attached_upstream is not None and not upstream.is_same_incarnation(
+            attached_upstream
+        )
         configuration = self._configuration.current
         connections = 2 * slots
         if configuration is not None and self._service in configuration.services:
             connections = configuration.services[self._service].connections
         self._gate.attach(upstream, connections)
-        if known is None or replaced:
+        if attached_upstream is None or replaced:
             log_change("upstream_attached", upstream=name, slots=slots, born=born)
         me = self._membership.me
         if replaced or not me.ready or me.slots != slots:
@@ -161,7 +164,7 @@
                 ready=True, slots=slots, succession=me.succession + replaced
             )
 
-    def _release(self, why: str, upstream: str) -> None:
+    def _detach(self, why: str, upstream: str) -> None:
         if self._gate.accepting:
             self._gate.detach()
             self._membership.update_me(ready=False)
--- a/packages/rattanfork-node/rattanfork_node/hop_by_hop.py
+++ b/packages/rattanfork-node/rattanfork_node/hop_by_hop.py
@@ -1,4 +1,4 @@
-"""HTTP headers that concern one connection only, and are not passed on."""
+"""Hop-by-hop HTTP headers, which are not forwarded."""
 
 HOP_BY_HOP = frozenset(
     (
--- a/packages/rattanfork-node/rattanfork_node/main.py
+++ b/packages/rattanfork-node/rattanfork_node/main.py
@@ -1,4 +1,4 @@
-"""The command ``rattanfork-node``."""
+"""Entry point of the ``rattanfork-node`` command."""
 
 import asyncio
 import gc
@@ -53,14 +53,15 @@
     raise typer.Exit(status)
 
 
-#: Allocations between two collections of the youngest objects.
+#: Allocations between two garbage collections of the youngest generation.
 _GC_THRESHOLD = 50_000
 
 
 async def _run(settings: NodeSettings) -> int:
     node = Node(settings)
-    # A full collection walks all that the libraries loaded and holds up every
-    # request meanwhile; what is there at the start stays, so it is set aside.
+    # A full garbage collection traverses all objects of the loaded libraries and
+    # delays every request meanwhile.  These objects live as long as the process, so
+    # they are excluded.
     gc.collect()
     gc.freeze()
     gc.set_threshold(_GC_THRESHOLD, 20, 100)
