--- a/packages/rattanfork-node/rattanfork_node/http1/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/exchange.py
@@ -51,7 +51,7 @@
         "request_id",
         "target",
         "client_timeout",
-        "quota_delay",
+        "account_delay",
     )
 
     def __init__(
@@ -83,7 +83,7 @@
         #: Time at which the quota of its account admitted it; None without a quota.
         self.granted_at: float | None = None
         #: Seconds spent waiting for authentication and quota.
-        self.quota_delay = 0.0
+        self.account_delay = 0.0
         self.answered = False
         self.output: tuple[int, bytes, bytes] | None = None
         #: Called once if the client disconnects before the response.
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -195,7 +195,7 @@
         account = None if index is None else index.find(exchange.keys[0])
         waited = self._lease.now() - waiting.arrived
         if account is not None or index is None:
-            exchange.quota_delay += waited
+            exchange.account_delay += waited
             if account is None:
                 self.accept(exchange, route)
             elif self._is_confirmed():
@@ -226,7 +226,7 @@
 
         def on_decision(decision: QuotaDecision, retry_after: float) -> None:
             now = self._clock.now()
-            exchange.quota_delay += now - asked_at
+            exchange.account_delay += now - asked_at
             if decision is QuotaDecision.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -73,7 +73,7 @@
             refusal.reason,
             retry_after,
             route=route.name,
-            waited_ms=round(exchange.quota_delay * 1000, 1),
+            waited_ms=round(exchange.account_delay * 1000, 1),
         )
         if retry_after:
             self.answer_not_run(exchange, refusal.reason, retry_after, refusal.status)
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -352,7 +352,7 @@
         rule: str = "",
     ) -> None:
         now = self.clock.now()
-        began = now - exchange.quota_delay
+        began = now - exchange.account_delay
         deadline = began + route.timeout - _ANSWER_MARGIN_S
         if exchange.client_timeout is not None:
             deadline = min(deadline, began + exchange.client_timeout - _ANSWER_MARGIN_S)
