--- a/packages/rattanfork-core/rattanfork_core/rules/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' ordered rules: the first match decides a request's treatment."""
+"""Ordered traffic rules set by operators; the first match decides about a request."""
 
 from rattanfork_core.rules.action import Action
 from rattanfork_core.rules.condition import Condition
@@ -14,10 +14,10 @@
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.finding import Finding, FindingsError
 from rattanfork_core.rules.load import load_rules
-from rattanfork_core.rules.on_route import Ruling, facts_of_route, rule_on
+from rattanfork_core.rules.route_decision import RouteDecision, apply_rule, route_facts
 from rattanfork_core.rules.rule import Rule
 from rattanfork_core.rules.ruleset import RuleSet
-from rattanfork_core.rules.yaml_place import load_yaml_model
+from rattanfork_core.rules.yaml_loader import load_yaml_model
 
 __all__ = [
     "Action",
@@ -33,12 +33,12 @@
     "RuleModel",
     "RuleSet",
     "RulesDocument",
-    "Ruling",
+    "RouteDecision",
     "explain",
-    "facts_of_route",
+    "route_facts",
     "load_rules",
     "load_yaml_model",
     "move_rule",
     "retire_rule",
-    "rule_on",
+    "apply_rule",
 ]
--- a/packages/rattanfork-node/rattanfork_node/ingress/treatment.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/request_policy.py
@@ -1,4 +1,4 @@
-"""How the rules have a request treated."""
+"""Call path: effect of the rules and defaults on a request."""
 
 from dataclasses import dataclass
 
@@ -6,24 +6,24 @@
 from rattanfork_core.rules import Action, RequestFacts, RuleSet
 from rattanfork_core.settings import RequestSettings
 
-from rattanfork_node.ingress.incoming import Incoming
+from rattanfork_node.call_ingress.incoming_request import IncomingRequest
 
 _NO_ACTION = Action()
 
 
 @dataclass(frozen=True, slots=True)
-class Treatment:
-    """How a request is treated.
+class RequestPolicy:
+    """Limits and importance of a request, from the rules and defaults.
 
     Parameters
     ==========
 
     rule : str
-        The rule that decided, or "" for the defaults.
+        Name of the matching rule, or "" if none matched.
     deadline : float
-        Seconds until the answer must be out.
+        Seconds in which the response must be sent.
     attempts : int
-        Extra attempts granted to the whole tree of calls.
+        Retries granted to the request and all its child calls together.
     """
 
     rule: str
@@ -34,14 +34,14 @@
     idempotent: bool
 
 
-def treat(
-    incoming: Incoming,
+def select_policy(
+    incoming: IncomingRequest,
     rules: RuleSet,
     data_centre: str,
     load: float,
     defaults: RequestSettings,
-) -> Treatment:
-    """Return how the first rule that matches has a caller's request treated."""
+) -> RequestPolicy:
+    """Return the policy of a caller's request by the first matching rule."""
     importance = incoming.importance
     facts = RequestFacts(
         incoming.service,
@@ -60,13 +60,13 @@
         deadline = min(deadline, action.deadline)
     attempts = defaults.attempts if action.attempts is None else action.attempts
     idempotent = action.idempotent
-    return Treatment(
+    return RequestPolicy(
         rule.name if rule is not None else "",
         action,
         facts.importance if action.importance is None else action.importance,
         min(deadline, defaults.longest_deadline),
-        # The grant is given once, with the caller's first attempt: retries
-        # by caller and system would otherwise multiply.
+        # Only the caller's first attempt is granted retries, as retries by the
+        # caller and by the nodes would multiply.
         attempts if incoming.attempt == 1 else 0,
         incoming.idempotent if idempotent is None else idempotent,
     )
--- a/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rattanfork_core.trace import LineBudget
+from rattanfork_core.trace import LogSampler
 
 from rattanfork_node.telemetry.writer import LineWriter
 
@@ -23,7 +23,7 @@
 
     writer : LineWriter
         Output for the lines.
-    budget : LineBudget
+    budget : LogSampler
         Limits the rate of lines.
     instance : str
         Name of the instance, added to each line: logs of nodes are read together.
@@ -35,7 +35,7 @@
     def __init__(
         self,
         writer: LineWriter,
-        budget: LineBudget,
+        budget: LogSampler,
         instance: str,
         wall: Callable[[], float],
     ) -> None:
@@ -50,7 +50,7 @@
         Callers check this first, and collect the fields only if it is allowed.
         Under load, lines about requests that succeeded (``plain``) are sampled first.
         """
-        return self._budget.allows(request_id, plain)
+        return self._budget.should_write(request_id, plain)
 
     def write(self, kind: str, request_id: bytes, fields: dict[str, Any]) -> None:
         """Write a line that :meth:`should_log` has allowed."""
@@ -62,7 +62,7 @@
 
     def take_left_out(self) -> dict[str, int]:
         """Return and reset the numbers of lines left out, by kind."""
-        left_out = self._budget.take_left_out()
+        left_out = self._budget.take_omitted()
         if self._writer.dropped:
             left_out["unread"] = self._writer.dropped
         return left_out
