--- a/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/explain.py
@@ -63,7 +63,7 @@
                 "configuration": configuration.version,
                 "revision": record.revision,
                 "route": route.name,
-                "services": {s: _to_json(f, r) for s, f, r in results},
+                "services": {s: _to_json(e, d) for s, e, d in results},
             }
         )
         return
@@ -98,51 +98,51 @@
     print(f"configuration {configuration.version}: route {route.name}")
     print(f"  {route.host}{route.prefix}, {_describe_idempotence(route)}")
     total = sum(share.weight for share in route.services)
-    for share, (service, explanation, ruling) in zip(
+    for share, (service, explanation, decision) in zip(
         route.services, results, strict=True
     ):
         print(f"  service {service}, {share.weight / total:.0%} of the requests")
         for name, failures in explanation.passed_over:
             print(f"    passed over {name}: {'; '.join(failures)}")
-        print(f"    revision {record.revision}: {_describe_rule(ruling)}")
-        print(f"    {_describe_effect(ruling)}")
+        print(f"    revision {record.revision}: {_describe_rule(decision)}")
+        print(f"    {_describe_effect(decision)}")
 
 
 def _describe_idempotence(route: Route) -> str:
     return "idempotent" if route.idempotent else "not idempotent"
 
 
-def _describe_rule(ruling: RouteDecision) -> str:
+def _describe_rule(decision: RouteDecision) -> str:
     return (
         "no rule matches; the route applies"
-        if ruling.rule == "-"
-        else f"rule {ruling.rule}"
+        if decision.rule == "-"
+        else f"rule {decision.rule}"
     )
 
 
-def _describe_effect(ruling: RouteDecision) -> str:
-    if ruling.refuse_after is not None:
-        return f"refused with Retry-After {ruling.refuse_after:g} s"
-    route = ruling.route
-    place = f", only in {ruling.data_centre}" if ruling.data_centre else ""
+def _describe_effect(decision: RouteDecision) -> str:
+    if decision.refuse_after is not None:
+        return f"refused with Retry-After {decision.refuse_after:g} s"
+    route = decision.route
+    place = f", only in {decision.data_centre}" if decision.data_centre else ""
     return (
         f"importance {route.priority}, {route.timeout:g} s, at most "
         f"{route.most_upstreams} instances, {_describe_idempotence(route)}{place}"
     )
 
 
-def _to_json(explanation: Explanation, ruling: RouteDecision) -> dict[str, object]:
-    route = ruling.route
+def _to_json(explanation: Explanation, decision: RouteDecision) -> dict[str, object]:
+    route = decision.route
     return {
-        "rule": None if ruling.rule == "-" else ruling.rule,
+        "rule": None if decision.rule == "-" else decision.rule,
         "passed_over": [
             {"rule": name, "because": list(failures)}
             for name, failures in explanation.passed_over
         ],
-        "refuse_after": ruling.refuse_after,
+        "refuse_after": decision.refuse_after,
         "importance": route.priority,
         "timeout": route.timeout,
         "most_upstreams": route.most_upstreams,
         "idempotent": route.idempotent,
-        "data_centre": ruling.data_centre,
+        "data_centre": decision.data_centre,
     }
--- a/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/cluster.py
@@ -55,6 +55,17 @@
 class Cluster:
     """Nodes of some deployments, with stand-ins for upstreams and the platform.
 
+    Parameters
+    ==========
+
+    seed : int
+        Seed of the service times of the upstreams.
+    silence : float
+        Seconds without data, while a request or ping is pending, after which a
+        connection between nodes counts as lost.
+    node_settings : dict
+        Settings of nodes that replace or extend those written here, by section.
+
     Examples
     ========
 
--- a/packages/rattanfork-testkit/rattanfork_testkit/demo.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/demo.py
@@ -19,7 +19,9 @@
 from rattanfork_testkit.deployments import CLAIMS_BUREAU, REGISTRY_AUTHORITY
 
 _REPLICATED_SERVICES = ("claims", "donors", "receipts")
+#: Measured calls, after 20 warm-up calls that do not count.
 _LATENCY_SAMPLES = 150
+#: Requests per second of the surge.
 _SURGE_RATE = 500
 _RULES = """\
 rules:
