--- /dev/null
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
@@ -0,0 +1,210 @@
+"""Tests of attaching and detaching upstreams by announcements and probes."""
+
+import asyncio
+from random import Random
+
+from hypothesis import given
+from hypothesis import strategies as st
+from rattanfork_core.announcements import Announcement
+from rattanfork_core.clock import ManualClock
+from rattanfork_core.membership import Membership
+from rattanfork_core.routes import Configuration, ServiceConfig
+from rattanfork_node.app.upstream_monitor import UpstreamMonitor
+from rattanfork_node.config.holder import ConfigurationHolder
+from rattanfork_node.config.tests.fakes import member
+from rattanfork_node.relay.tests.fakes import GateHarness
+from rattanfork_node.telemetry import Counters
+
+
+class FakeProber:
+    """Prober whose response the test sets."""
+
+    def __init__(self) -> None:
+        self.asked = 0
+        self.answer: str | None = None
+
+    async def ask(self, path: str) -> str | None:
+        self.asked += 1
+        return self.answer
+
+
+class MonitorHarness:
+    """A newly started upstream monitor with a closed gate."""
+
+    def __init__(self) -> None:
+        self.clock = ManualClock(100.0)
+        self.gate = GateHarness().gate
+        self.gate.detach()
+        self.gate._upstream = None
+        self.prober = FakeProber()
+        self.waiting: list = []
+        holder = ConfigurationHolder(
+            lambda _: Configuration(1, (), {"s": ServiceConfig("/health", 9)})
+        )
+        holder.offer(b"-")
+        self.membership = Membership(self.clock, Random(1), member("me"))
+        self.monitor = UpstreamMonitor(
+            self.clock,
+            self.gate,
+            self.membership,
+            holder,
+            self.prober,
+            "s",
+            ("127.0.0.1", 1),
+            Counters(),
+            self.waiting.append,
+        )
+
+    def announce(
+        self, name: str, sequence: int, leaving: bool = False, born: int = 0
+    ) -> bool:
+        return self.monitor.on_announcement(
+            Announcement(name, "s", "127.0.0.1", 1, 8, sequence, leaving, 0.0, born)
+        )
+
+    def probe(self, answer: str | None) -> None:
+        """Advance time; if the monitor probes, complete the probe with ``answer``."""
+        self.clock.advance(1.0)
+        self.monitor.tick()
+        self.finish(answer)
+
+    def finish(self, answer: str | None) -> None:
+        self.prober.answer = answer
+        while self.waiting:
+            asyncio.run(self.waiting.pop())
+
+    @property
+    def serving(self) -> str | None:
+        """Name of the upstream that receives new requests."""
+        return self.gate.upstream.name if self.gate.accepting else None
+
+
+def test_restarted_node_attaches_probed_upstream_before_its_announcement():
+    harness = MonitorHarness()
+    harness.probe("i1")
+    assert harness.serving == "i1"
+
+
+def test_restarted_node_does_not_attach_leaving_upstream():
+    """Guards against attaching an upstream whose leaving the node has forgotten.
+
+    The node was killed after acknowledging it.  A leaving upstream refuses probes and
+    repeats the announcement of its leaving.
+    """
+    harness = MonitorHarness()
+    harness.probe(None)
+    assert harness.serving is None
+    harness.announce("i1", 7, leaving=True)
+    harness.probe("i1")
+    assert harness.serving is None
+
+
+def test_probe_in_flight_does_not_revert_acknowledged_leaving():
+    """The probe was answered just before the upstream announced its leaving."""
+    harness = MonitorHarness()
+    harness.clock.advance(1.0)
+    harness.monitor.tick()
+    harness.announce("i1", 3, leaving=True)
+    harness.finish("i1")
+    assert harness.serving is None
+
+
+def test_late_announcement_of_dead_incarnation_is_ignored():
+    """Guards against a delayed announcement that replaces the current upstream.
+
+    A network partition delayed the announcements of a crashed incarnation until its
+    successor at the same address had announced itself.
+    """
+    harness = MonitorHarness()
+    harness.announce("i1", 5)
+    harness.announce("i2", 1)
+    harness.announce("i1", 6)
+    harness.announce("i1", 7, leaving=True)
+    assert harness.serving == "i2"
+
+
+def test_upstream_that_left_is_not_attached_by_probe():
+    harness = MonitorHarness()
+    harness.announce("i1", 1)
+    harness.monitor.on_leave("i1")
+    harness.probe("i1")
+    assert harness.serving is None
+
+
+def test_leaving_node_attaches_no_upstream():
+    harness = MonitorHarness()
+    harness.monitor.close()
+    harness.announce("i1", 1)
+    harness.probe("i1")
+    assert harness.serving is None
+    assert harness.prober.asked == 0
+
+
+def test_upstream_restarted_with_same_id_is_attached():
+    """An upstream restarts with its old ID and a new announcement sequence.
+
+    Its ``succession`` increases, so that other nodes don't apply the performance
+    of the old incarnation to the new one.
+    """
+    harness = MonitorHarness()
+    harness.announce("i1", 9, born=1000)
+    harness.announce("i1", 10, leaving=True, born=1000)
+    assert harness.serving is None
+    harness.announce("i1", 1, born=2000)
+    assert harness.serving == "i1"
+    assert harness.membership.me.succession == 1
+    harness.monitor.on_leave("i1", 1000)
+    harness.announce("i1", 11, leaving=True, born=1000)
+    assert harness.serving == "i1"
+
+
+def test_probe_and_announcement_of_same_incarnation_are_merged():
+    harness = MonitorHarness()
+    harness.probe("i1")
+    harness.announce("i1", 4, born=1000)
+    assert harness.membership.me.succession == 0
+    assert harness.gate.upstream.born == 1000
+
+
+def test_upstream_of_another_service_is_not_attached():
+    """Guards against requests being executed by an upstream of another service."""
+    harness = MonitorHarness()
+    foreign = Announcement("i9", "other", "127.0.0.1", 1, 8, 1)
+    assert not harness.monitor.on_announcement(foreign)
+    assert harness.serving is None
+
+
+#: Sequence number from which an upstream's announcements state its leaving.
+LEAVES_AT = 4
+EVENTS = st.lists(
+    st.tuples(
+        st.sampled_from(["announcement", "gone", "probe", "unanswered"]),
+        st.sampled_from(["i1", "i2", "i3"]),
+        st.integers(1, 6),
+    ),
+    max_size=25,
+)
+
+
+@given(EVENTS)
+def test_upstream_gets_no_requests_after_acknowledged_leaving(events):
+    """Announcements are delayed, repeated and reordered, with probes in between.
+
+    After the node has acknowledged that an upstream leaves or is gone, no later event
+    may attach it.
+    """
+    harness = MonitorHarness()
+    left: set[str] = set()
+    for kind, name, sequence in events:
+        if kind == "announcement":
+            leaving = sequence >= LEAVES_AT
+            harness.announce(name, sequence, leaving)
+            if leaving:
+                left.add(name)
+        elif kind == "gone":
+            harness.monitor.on_leave(name)
+            left.add(name)
+        else:
+            # A leaving upstream refuses probes.
+            harness.probe(name if kind == "probe" and name not in left else None)
+        assert harness.serving not in left
