--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -19,6 +19,9 @@
     """The upstream instance that the node forwards requests to.
 
     ``slots`` and ``connections`` apply until the upstream announces its own values.
+    It is no longer used if it announces nothing for ``announce_timeout`` seconds;
+    ``warmup`` is the time in seconds over which its concurrency limit rises to the
+    full value after a cold start.
     """
 
     url: Url
