--- a/packages/rattanfork-cli/rattanfork_cli/burn_html.py
+++ b/packages/rattanfork-cli/rattanfork_cli/burn_html.py
@@ -51,7 +51,7 @@
         f"<tr><td>{escape(rule or 'no rule')}<td>{count}"
         for rule, count in line.spenders
     )
-    spent = f"<table><tr><th>spent by<th>requests{rows}</table>" if rows else ""
+    spent = f"<table><tr><th>used by<th>requests{rows}</table>" if rows else ""
     return (
         f"<h2>{title}</h2><p>target {line.target:.3%}, {line.requests} requests, "
         f"budget left {line.budget_left:.1%}</p>{_render_bars(line)}{spent}"
--- a/packages/rattanfork-cli/rattanfork_cli/commands/report.py
+++ b/packages/rattanfork-cli/rattanfork_cli/commands/report.py
@@ -159,7 +159,7 @@
     return {
         "nodes counted": f"{answered} of {asked}",
         "not known": (
-            "what nodes that were replaced or did not answer had seen, and "
+            "requests counted by nodes that were replaced or did not answer, and "
             "requests that reached no node"
         ),
     }
--- a/packages/rattanfork-testkit/rattanfork_testkit/matrix/faults.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/matrix/faults.py
@@ -7,7 +7,7 @@
     """Step on the path of a request at which a fault is injected.
 
     The *entry node* takes the request from the caller; the *serving node* runs
-    beside the upstream instance that handles it.
+    beside the upstream instance that handles it, and admits it at its gate.
     """
 
     REQUEST = "caller to entry node"
