--- a/packages/rattanfork-testkit/rattanfork_testkit/ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/ports.py
@@ -13,7 +13,7 @@
     outgoing connection or by another test run.  A restarted process then fails
     to listen; this happened once in some dozens of runs on a loaded machine.
     Therefore each port stays bound here.  Listeners set ``SO_REUSEADDR`` and can
-    still use it; outgoing connections and other probes for a port can not.
+    still use it; outgoing connections and other probes for a port cannot.
 
     Examples
     ========
--- a/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
+++ b/packages/rattanfork-testkit/rattanfork_testkit/tests/test_ports.py
@@ -10,7 +10,7 @@
 def test_reserved_port_can_be_reused_by_its_process_only():
     """Guards against a port that is taken while its process restarts.
 
-    Another socket can not bind the reserved port; a listener can, repeatedly.
+    Another socket cannot bind the reserved port; a listener can, repeatedly.
     """
     ports = FreePorts()
     port = ports.reserve()
