--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
@@ -66,7 +66,7 @@
 
 
 def test_memory_of_callers_is_bounded():
-    callers = CallerTable(ManualClock(), most=10)
+    callers = CallerTable(ManualClock(), max_entries=10)
     for i in range(100):
         callers.count_attempt(f"r{i}", "ann")
         callers.retry_budget(f"caller:{i}")
--- a/packages/rattanfork-node/rattanfork_node/http1/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 connections of a node, over a parser from a library.
+"""HTTP/1.1 server and client connections of a node.
 
-The parser reads one message at a time; order, reuse, limits and closing are
-decided here, because answers depend on them: a pipelined request must be
-answered in its turn, and a request that came in behind a closing answer must
-never be passed on.
+The ``httptools`` parser reads single messages.  This package adds pipelining, size
+limits, time-outs, connection reuse and connection close: pipelined requests must be
+answered in order, and a request that follows one with ``Connection: close`` must
+never reach the handler.
 """
 
 from rattanfork_node.http1.client import HttpClient
@@ -13,10 +13,10 @@
 from rattanfork_node.http1.headers import HeaderNames
 from rattanfork_node.http1.limits import RequestLimits
 from rattanfork_node.http1.pool import UpstreamPool
-from rattanfork_node.http1.render import render_answer, render_head
+from rattanfork_node.http1.render import render_head, render_response
 from rattanfork_node.http1.server import HttpServer
 from rattanfork_node.http1.server_connection import ServerConnection
-from rattanfork_node.http1.upstream import UpstreamAnswer, UpstreamConnection
+from rattanfork_node.http1.upstream import UpstreamConnection, UpstreamResponse
 
 __all__ = [
     "Exchange",
@@ -26,10 +26,10 @@
     "RequestHandler",
     "RequestLimits",
     "ServerConnection",
-    "UpstreamAnswer",
+    "UpstreamResponse",
     "UpstreamConnection",
     "UpstreamPool",
     "fingerprint_of",
-    "render_answer",
+    "render_response",
     "render_head",
 ]
