--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -373,7 +373,7 @@
             "upstream": self._upstream_url if self._guard.serving else None,
             "state": self._gauges(),
             "counters": self._counters.snapshot(),
-            "platform": dict(self._platform.asked) if self._platform else {},
+            "platform": dict(self._platform.call_counts) if self._platform else {},
         }
 
     def _list_members(self) -> list[dict]:
--- a/packages/rattanfork-node/rattanfork_node/app/observer.py
+++ b/packages/rattanfork-node/rattanfork_node/app/observer.py
@@ -99,7 +99,7 @@
             losses=snapshot["losses"],
             events=snapshot["events"],
             store=snapshot["store"],
-            store_silence_s=round(self._platform.silence, 2),
+            store_silence_s=round(self._platform.seconds_since_answer, 2),
             store_pending=self._store_pending(),
             configuration=self._configuration.version,
             confirmed_s=round(self._confirmed_age(), 2),
@@ -115,8 +115,8 @@
         return [
             {
                 "call": pending.call,
-                "waited_s": round(pending.waited, 2),
-                "rested_s": _rounded(pending.rested),
+                "waited_s": round(pending.elapsed, 2),
+                "rested_s": _rounded(pending.idle_before),
             }
             for pending in self._platform.pending
         ]
@@ -140,7 +140,7 @@
             "configuration_age_seconds": self._clock.now() - self._configuration_since,
             "configuration_confirmed_seconds": self._confirmed_age(),
             "rules_revision": self._rules.revision,
-            "store_silence_seconds": self._platform.silence,
+            "store_silence_seconds": self._platform.seconds_since_answer,
             "store_calls_pending": len(self._platform.pending),
         }
 
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -105,7 +105,7 @@
         self._clock = MonotonicClock()
         self._random = Random(int.from_bytes(os.urandom(16), "big"))
         self._counters = Counters()
-        self._counters.store = platform.asked
+        self._counters.store = platform.call_counts
         self._draining = asyncio.Event()
         self._log = RequestLog(
             writer, LineBudget(self._clock), settings.instance, time.time
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -32,7 +32,7 @@
         self._changed = asyncio.Event()
 
     @property
-    def asked(self) -> Counter:
+    def call_counts(self) -> Counter:
         return Counter((call, "done") for call in self.calls)
 
     @property
@@ -44,7 +44,7 @@
         return 1
 
     @property
-    def silence(self) -> float:
+    def seconds_since_answer(self) -> float:
         return 0.0
 
     def put(self, table: str, key: str, value: bytes) -> None:
--- a/packages/rattanfork-platform/rattanfork_platform/http.py
+++ b/packages/rattanfork-platform/rattanfork_platform/http.py
@@ -23,16 +23,16 @@
         self._url = url
         self._timeout = aiohttp.ClientTimeout(total=timeout)
         self._session: aiohttp.ClientSession | None = None
-        self._asked: Counter[str] = Counter()
+        self._call_counts: Counter[str] = Counter()
 
     @property
-    def asked(self) -> Counter[str]:
+    def call_counts(self) -> Counter[str]:
         """Requests sent so far, by cause: the first part of the key."""
-        return self._asked
+        return self._call_counts
 
     async def read(self, key: str) -> Row:
         """Return a row."""
-        self._asked[f"read:{key.split('/')[0]}"] += 1
+        self._call_counts[f"read:{key.split('/')[0]}"] += 1
         status, body = await self._ask("GET", f"/table/{key}")
         if status == 404:
             return Row(0, None)
@@ -41,7 +41,7 @@
     async def transact(self, checks: dict[str, int], writes: dict[str, object]) -> bool:
         """Write if all checked versions hold."""
         cause = next(iter(writes)).split("/")[0]
-        self._asked[f"write:{cause}"] += 1
+        self._call_counts[f"write:{cause}"] += 1
         body = {"checks": checks, "writes": writes}
         status, _ = await self._ask("POST", "/transactions", body)
         return status == 200
--- a/packages/rattanfork-platform/rattanfork_platform/interface.py
+++ b/packages/rattanfork-platform/rattanfork_platform/interface.py
@@ -49,16 +49,16 @@
 
     call : str
         Its kind.
-    waited : float
+    elapsed : float
         Seconds since it was made.
-    rested : float or None
+    idle_before : float or None
         Seconds for which its connection had been idle before; 0 for a new
         connection, None while it waits for one.
     """
 
     call: str
-    waited: float
-    rested: float | None
+    elapsed: float
+    idle_before: float | None
 
 
 class Platform(ABC):
@@ -108,7 +108,7 @@
 
     @property
     @abstractmethod
-    def asked(self) -> Counter[tuple[str, str]]:
+    def call_counts(self) -> Counter[tuple[str, str]]:
         """Calls made so far, by kind and result."""
 
     @property
@@ -118,7 +118,7 @@
 
     @property
     @abstractmethod
-    def silence(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Seconds since the platform last answered anything, or since the start."""
 
     @abstractmethod
