--- a/bench/by_routes.py
+++ b/bench/by_routes.py
@@ -5,13 +5,13 @@
 from types import SimpleNamespace
 from urllib.parse import urlsplit
 
+from rattanfork_adapter.tests.fakes import FakeStore
 from rattanfork_adapter.tests.fleet import (
     NodeProcess,
     client_headers,
     configuration,
-    until,
+    wait_until,
 )
-from rattanfork_adapter.tests.stand_in import StoreStandIn
 from rattanfork_testkit import FreePorts
 
 
@@ -28,7 +28,7 @@
     def __init__(self, upstream_url: str) -> None:
         self._upstream = urlsplit(upstream_url)
         self._folder = tempfile.TemporaryDirectory()
-        self._store = StoreStandIn()
+        self._store = FakeStore()
         self._ports = FreePorts()
         self._nodes: list[NodeProcess] = []
         self.headers = client_headers("speed", 5000)
@@ -57,7 +57,7 @@
             self._nodes.append(node)
             await node.start()
             await node.announce(slots=400)
-        await until(self._serves)
+        await wait_until(self._serves)
         return self
 
     async def __aexit__(self, *_: object) -> None:
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -10,8 +10,8 @@
 from time import monotonic
 
 import uvloop
-from rattanfork_adapter.tests.fleet import NodeProcess, configuration, until
-from rattanfork_adapter.tests.stand_in import StoreStandIn, WorkerStandIn
+from rattanfork_adapter.tests.fakes import FakeStore, FakeWorker
+from rattanfork_adapter.tests.fleet import NodeProcess, configuration, wait_until
 from rattanfork_testkit import FreePorts
 
 _RESULTS = Path(__file__).parent.parent / "docs" / "measurements" / "starts.json"
@@ -26,19 +26,19 @@
         answer = await node.request(f"start-{node.name}-{number}")
         return answer is not None and answer.status == 200
 
-    await until(serves)
+    await wait_until(serves)
     return monotonic() - began
 
 
 async def main(nodes: int, rounds: int, save: bool) -> None:
     """Kill and start all nodes some times, and print the times."""
     with tempfile.TemporaryDirectory() as folder:
-        store, ports = StoreStandIn(), FreePorts()
+        store, ports = FakeStore(), FreePorts()
         await store.start()
         await store.put("op", "config", configuration(1))
         fleet = []
         for number in range(nodes):
-            worker = WorkerStandIn(f"i-{number}", "s1")
+            worker = FakeWorker(f"i-{number}", "s1")
             await worker.start()
             node = NodeProcess(f"n{number}", worker, store, Path(folder), ports)
             fleet.append(node)
--- a/packages/rattanfork-platform/rattanfork_platform/__init__.py
+++ b/packages/rattanfork-platform/rattanfork_platform/__init__.py
@@ -1,7 +1,8 @@
-"""The platform's transactional table service and object store.
+"""Interface to the platform's transactional table service.
 
-The client of the project's own stand-in is imported from
-:mod:`rattanfork_platform.http`, because its library is large.
+Nodes read routes, rules and member records through it and write with
+compare-and-set; no request is sent through it.  The HTTP client is imported from
+:mod:`rattanfork_platform.http` only where it is used, because aiohttp is slow to load.
 """
 
 from rattanfork_platform.interface import (
--- a/packages/rattanfork-platform/rattanfork_platform/connect.py
+++ b/packages/rattanfork-platform/rattanfork_platform/connect.py
@@ -1,4 +1,4 @@
-"""Clients of a platform by its URL."""
+"""Selects the platform client by the scheme of a URL, for the command line."""
 
 from collections.abc import Awaitable, Callable
 from importlib.metadata import entry_points
@@ -7,29 +7,28 @@
 
 from rattanfork_platform.interface import Platform
 
-#: Group of entry points by which installed packages offer clients; the name of
-#: each is the scheme of its URLs.
-_GROUP = "rattanfork.platforms"
-#: Likewise for what reads the configuration of routes from such a platform.
-_READERS = "rattanfork.configurations"
-_TIMEOUT = 3.0
+#: Entry point group of platform clients; an entry point's name is a URL scheme.
+_CLIENT_GROUP = "rattanfork.platforms"
+#: Entry point group of functions that read the routes, also named by URL scheme.
+_READER_GROUP = "rattanfork.configurations"
+_HTTP_TIMEOUT_S = 3.0
 
 
 def connect_platform(url: str) -> Platform:
-    """Return a client of the platform at a URL.
+    """Return a client for the platform at a URL.
 
     Explanation
     ===========
 
-    ``http`` and ``https`` stand for the project's own interface.  Any other
-    scheme is served by the package that is installed for it, so that commands
-    need not know which platforms there are.
+    ``http`` and ``https`` select :class:`~rattanfork_platform.http.HttpPlatform`.
+    Any other scheme is looked up among the entry points of installed packages, so
+    that commands need not import the client of each platform.
 
     Raises
     ======
 
     ValueError
-        If nothing is installed for the scheme, or the URL is malformed.
+        If no client is installed for the scheme, or the URL is malformed.
 
     Examples
     ========
@@ -37,21 +36,21 @@
     >>> connect_platform("nowhere://10.0.0.1:1")
     Traceback (most recent call last):
     ...
-    ValueError: no client is installed for 'nowhere'
+    ValueError: no platform client is installed for URL scheme 'nowhere'
     """
     scheme = url.partition("://")[0]
     if scheme in ("http", "https"):
         from rattanfork_platform.http import HttpPlatform
 
-        return HttpPlatform(url, timeout=_TIMEOUT)
-    for entry in entry_points(group=_GROUP, name=scheme):
-        make: Callable[[str], Platform] = entry.load()
-        return make(url)
-    raise ValueError(f"no client is installed for {scheme!r}")
+        return HttpPlatform(url, timeout=_HTTP_TIMEOUT_S)
+    for entry in entry_points(group=_CLIENT_GROUP, name=scheme):
+        create: Callable[[str], Platform] = entry.load()
+        return create(url)
+    raise ValueError(f"no platform client is installed for URL scheme {scheme!r}")
 
 
 async def read_configuration(url: str, platform: Platform) -> Configuration | None:
-    """Return the accepted configuration of routes, or None if there is none.
+    """Return the configuration of routes that the platform holds, or None.
 
     Raises
     ======
@@ -59,10 +58,11 @@
     PlatformDownError
         If the platform does not answer.
     ValueError
-        If no configuration is kept on platforms of this kind, or it is malformed.
+        If platforms of this URL scheme hold no routes, or the configuration is
+        malformed.
     """
     scheme = url.partition("://")[0]
-    for entry in entry_points(group=_READERS, name=scheme):
+    for entry in entry_points(group=_READER_GROUP, name=scheme):
         read: Callable[[Platform], Awaitable[Configuration | None]] = entry.load()
         return await read(platform)
-    raise ValueError(f"no routes are kept on a platform of the kind {scheme!r}")
+    raise ValueError(f"platforms of URL scheme {scheme!r} hold no routes")
--- a/packages/rattanfork-platform/rattanfork_platform/interface.py
+++ b/packages/rattanfork-platform/rattanfork_platform/interface.py
@@ -1,4 +1,4 @@
-"""What the system needs of the platform."""
+"""Abstract platform clients: versioned rows with transactions, listing and watches."""
 
 from abc import ABC, abstractmethod
 from collections import Counter
@@ -6,16 +6,16 @@
 
 
 class HistoryLostError(LookupError):
-    """The changes since the version asked for are no longer kept."""
+    """The platform no longer has the changes since the requested version."""
 
 
 class PlatformDownError(ConnectionError):
-    """The platform did not answer; a write may or may not have taken effect."""
+    """A call failed or timed out; a write may or may not have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row of the table; version 0 stands for a row that is not there."""
+    """A row of a table; version 0 means that the row does not exist."""
 
     version: int
     value: object
@@ -23,17 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """Rows of a table, and the version of the whole store they are as of.
+    """Rows of a table, and the position in the platform's history they were read at.
 
     Parameters
     ==========
 
     rows : dict
-        Rows by key, with their values as bytes; None stands for a row that
-        was removed.
+        Rows by key, with their values as bytes; None marks a deleted row.
     version : int
-        From where to watch on.  It grows for as long as the platform's client lives,
-        also when the platform comes back from an older copy.
+        Position from which the next watch continues.  It never decreases during the
+        life of a client, even if the platform is restored from an older backup.
     """
 
     rows: dict[str, Row | None]
@@ -42,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """A call to the platform that has no answer so far.
+    """A call to the platform that is still waiting for its response.
 
     Parameters
     ==========
 
     call : str
-        Its kind.
+        Name of the operation.
     elapsed : float
         Seconds since it was made.
     idle_before : float or None
-        Seconds for which its connection had been idle before; 0 for a new
-        connection, None while it waits for one.
+        Seconds for which its connection was idle before the call; 0 for a new
+        connection, None while no connection is assigned.
     """
 
     call: str
@@ -62,18 +61,19 @@
 
 
 class Platform(ABC):
-    """The transactional table service and the object store.
+    """Client of the transactional table service.
 
     Explanation
     ===========
 
-    A transaction checks the versions of some rows and writes others, all or
-    nothing.  It is the only way anything is agreed upon.
+    A transaction compares the versions of some rows and atomically writes others
+    (compare-and-set).  Nodes have no consensus protocol of their own: what they must
+    agree on is decided by such a transaction.
     """
 
     @property
     def era(self) -> int:
-        """Grows by one when the platform is restored from a copy; 0 while unknown."""
+        """Number that increases with each restore from a backup; 0 while unknown."""
         return 0
 
     @abstractmethod
@@ -84,23 +84,23 @@
         ======
 
         PlatformDownError
-            If there is no answer.
+            If the call fails or times out.
         """
 
     @abstractmethod
     async def transact(self, checks: dict[str, int], writes: dict[str, object]) -> bool:
-        """Write if all checked versions hold; return whether it was written.
+        """Write if every checked row has its expected version; return whether it did.
 
         Raises
         ======
 
         PlatformDownError
-            If there is no answer.  The write may have taken effect.
+            If the call fails or times out.  The write may have taken effect.
         """
 
     @abstractmethod
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close the connections."""
 
 
 class WatchedPlatform(Platform):
@@ -109,63 +109,63 @@
     @property
     @abstractmethod
     def call_counts(self) -> Counter[tuple[str, str]]:
-        """Calls made so far, by kind and result."""
+        """Calls made so far, by operation and result."""
 
     @property
     @abstractmethod
     def pending(self) -> tuple[PendingCall, ...]:
-        """Calls without an answer so far, the oldest first."""
+        """Calls that are waiting for a response, oldest first."""
 
     @property
     @abstractmethod
     def seconds_since_answer(self) -> float:
-        """Seconds since the platform last answered anything, or since the start."""
+        """Seconds since the last response to any call, or since the client started."""
 
     @abstractmethod
     async def scan(self, table: str, key: str = "") -> Rows:
-        """Return all rows of a table, or only the one of a key.
+        """Return all rows of a table, or only the row of ``key`` if it is given.
 
         Raises
         ======
 
         PlatformDownError
-            If there is no answer.
+            If the call fails or times out.
         """
 
     @abstractmethod
     async def watch(self, table: str, after: int, wait: float) -> Rows:
-        """Return the changes after a version, waiting for the first.
+        """Return the changes after a version; wait for the first one (long poll).
 
         Parameters
         ==========
 
         table : str
-            The table.
+            Name of the table.
         after : int
-            The version that is known.
+            Version that the caller has already seen.
         wait : float
-            Seconds after which an empty answer is given.
+            Seconds after which the call returns without any change.
 
         Raises
         ======
 
         HistoryLostError
-            If changes since ``after`` are no longer kept: scan again.
+            If the changes since ``after`` are not available any more: scan again.
         PlatformDownError
-            If there is no answer.
+            If the call fails or times out.
         """
 
     @abstractmethod
     async def changes(self, table: str, after: int) -> Rows:
-        """Return the changes after a version that there are now, without waiting.
+        """Return the changes after a version that exist now, without waiting.
 
         Raises
         ======
 
         HistoryLostError
-            If changes since ``after`` are no longer kept: scan again.
+            If the changes since ``after`` are not available any more: scan again.
         PlatformDownError
-            If there is no answer.
+            If the call fails or times out.
         """
 
     @abstractmethod
@@ -176,5 +176,5 @@
         ======
 
         PlatformDownError
-            If there is no answer.
+            If the call fails or times out.
         """
--- a/packages/rattanfork-soak/rattanfork_soak/client.py
+++ b/packages/rattanfork-soak/rattanfork_soak/client.py
@@ -5,8 +5,8 @@
 from random import Random
 
 import aiohttp
+from rattanfork_adapter.tests.fakes import KEY, STAMP
 from rattanfork_adapter.tests.fleet import client_headers
-from rattanfork_adapter.tests.stand_in import KEY, STAMP
 
 from rattanfork_soak.checks import Checks
 from rattanfork_soak.keys import KeyRing
--- a/packages/rattanfork-soak/rattanfork_soak/faults.py
+++ b/packages/rattanfork-soak/rattanfork_soak/faults.py
@@ -61,7 +61,7 @@
     async def strike(self) -> None:
         """Be silent just while the nodes watch anew."""
         self.world.store.fault = "silent"
-        self.world.store.end_feeds()
+        self.world.store.abort_watches()
         await self.wait()
         self.world.store.fault = ""
 
@@ -89,7 +89,7 @@
 
 
 class WorkerTrouble(Fault):
-    """A worker is slow, refuses, fails, garbles or hangs."""
+    """A worker is slow, refuses, fails, truncates_responses or hangs."""
 
     async def strike(self) -> None:
         """Let the worker misbehave for a while."""
--- a/packages/rattanfork-soak/rattanfork_soak/soak.py
+++ b/packages/rattanfork-soak/rattanfork_soak/soak.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from random import Random
 
-from rattanfork_adapter.tests.fleet import until, version_in_force
+from rattanfork_adapter.tests.fleet import logged_version, wait_until
 
 from rattanfork_soak.checks import Checks
 from rattanfork_soak.client import Client
@@ -24,7 +24,7 @@
 #: store may need to be stable again after it was silent.
 _IN_FORCE = 2.0 + 3.0
 #: Two nodes are killed or stopped within seconds; a node starts in about one.
-_PATIENCE = 30.0
+_WAIT_LIMIT_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,13 +142,13 @@
         await asyncio.gather(*self._faults)
 
     async def _play(self, fault: Fault) -> None:
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_WAIT_LIMIT_S):
             await fault.strike()
 
     async def _settle(self, world: World, checks: Checks) -> None:
         for place in world.places:
             try:
-                await until(place.is_ready)
+                await wait_until(place.is_ready)
             except TimeoutError:
                 checks.find("recovery", world.now(), f"{place.name} is not ready")
         await self._check_in_force(world, checks)
@@ -170,7 +170,7 @@
         changed_at = world.now()
         for place in world.places:
             try:
-                await until(lambda place=place: _is_in_force(place, world.version))
+                await wait_until(lambda place=place: _is_in_force(place, world.version))
             except TimeoutError:
                 text = f"{place.name} does not hold version {world.version}"
                 checks.find("configuration", world.now(), text)
@@ -193,4 +193,4 @@
 
 
 async def _is_in_force(place: Place, version: int) -> bool:
-    return version_in_force(place.log) == version
+    return logged_version(place.log) == version
--- a/packages/rattanfork-soak/rattanfork_soak/worker.py
+++ b/packages/rattanfork-soak/rattanfork_soak/worker.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from aiohttp import web
-from rattanfork_adapter.tests.stand_in import (
+from rattanfork_adapter.tests.fakes import (
     ACCOUNT,
     EXPECTED,
     INSTANCE,
--- a/packages/rattanfork-soak/rattanfork_soak/world.py
+++ b/packages/rattanfork-soak/rattanfork_soak/world.py
@@ -5,8 +5,8 @@
 from random import Random
 from time import monotonic
 
-from rattanfork_adapter.tests.fleet import configuration_of, route, until
-from rattanfork_adapter.tests.stand_in import StoreStandIn
+from rattanfork_adapter.tests.fakes import FakeStore
+from rattanfork_adapter.tests.fleet import encode_configuration, route, wait_until
 from rattanfork_testkit import FreePorts
 
 from rattanfork_soak.keys import ACCOUNT_NAME, KeyRing
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, folder: Path, count: int, random: Random) -> None:
-        self.store = StoreStandIn()
+        self.store = FakeStore()
         self.version = 0
         self.restores = 0
         self._began = monotonic()
@@ -80,7 +80,7 @@
         for place in self.places:
             await place.start(self.store.address, self._folder, self._ports)
         for place in self.places:
-            await until(place.is_ready)
+            await wait_until(place.is_ready)
 
     async def stop(self) -> None:
         """End all that was started."""
@@ -139,4 +139,4 @@
             routes[name] = route(f"/{name}/", "idempotent", TIMEOUT, priority=2)
         held = self.keys.in_force if keys is None else keys
         accounts = {ACCOUNT_NAME: {"apiKeys": held}}
-        return configuration_of(self.version, routes, accounts)
+        return encode_configuration(self.version, routes, accounts)
