--- a/bench/by_routes.py
+++ b/bench/by_routes.py
@@ -1,4 +1,4 @@
-"""Two nodes that relay by routes, in front of an upstream of a bench."""
+"""Two nodes that relay by routes to an upstream, for ``speed.py``."""
 
 import tempfile
 from pathlib import Path
@@ -16,13 +16,13 @@
 
 
 class ByRoutes:
-    """A node of another service and the node beside an upstream.
+    """The node of a calling service, and the node of the upstream.
 
     Parameters
     ==========
 
     upstream_url : str
-        The upstream; it answers ``/a/x``.
+        Base URL of the upstream.
     """
 
     def __init__(self, upstream_url: str) -> None:
@@ -35,12 +35,12 @@
 
     @property
     def url(self) -> str:
-        """Where callers of the other service send their requests."""
+        """URL for requests of the calling service."""
         return f"http://127.0.0.1:{self._nodes[0].ports['outbound']}/a/get"
 
     @property
     def processes(self) -> list:
-        """The two nodes' processes."""
+        """Processes of both nodes."""
         return [node.process for node in self._nodes]
 
     async def __aenter__(self) -> "ByRoutes":
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -1,7 +1,8 @@
-"""How old what the gates report is at the nodes of fleets of several sizes.
+"""Age in seconds of the gate status that nodes hold, for fleets of several sizes.
 
-Twelve gates shed all the time; the real objects of all nodes run in one process on one
-clock, each with a tick of its own.  A datagram takes no time, and some are lost.
+Simulates all nodes on one clock with the real gossip code, each with its own tick.
+Twelve gates shed all the time; datagrams arrive without delay, and a share of them is
+lost.  Also reports bytes per second that a node sends.
 """
 
 import argparse
@@ -14,28 +15,28 @@
 
 RESULTS = Path(__file__).parent.parent / "docs" / "measurements"
 SIZES = (12, 194, 300, 1000, 3000)
-LOSSES = (0.0, 0.1)
+LOSS_RATES = (0.0, 0.1)
 GATES = 12
-SETTLE = 2.0
-LOOKS = 5
+SETTLE_S = 2.0
+OBSERVATIONS = 5
 
 
 def measure(size: int, lost: float) -> dict[str, float]:
-    """Return quantiles of the ages, and what a node sends."""
+    """Return quantiles of the ages, and the bytes per second that a node sends."""
     gossip = GossipSimulation(size, GATES, lost)
-    gossip.run(SETTLE)
+    gossip.run(SETTLE_S)
     gossip.sent_bytes = 0
     ages: list[float] = []
-    for _ in range(LOOKS):
+    for _ in range(OBSERVATIONS):
         gossip.run(0.2)
         ages += gossip.report_ages()
     ages.sort()
     return {
         "nodes": size,
         "lost": lost,
-        "known": round(len(ages) / (LOOKS * GATES * size), 4),
+        "known": round(len(ages) / (OBSERVATIONS * GATES * size), 4),
         **{f"p{q}": _quantile(ages, q / 100) for q in (50, 90, 99)},
-        "bytes_a_second": round(gossip.sent_bytes / size / (0.2 * LOOKS)),
+        "bytes_a_second": round(gossip.sent_bytes / size / (0.2 * OBSERVATIONS)),
     }
 
 
@@ -44,27 +45,27 @@
 
 
 def plot(rows: list[dict[str, float]]) -> None:
-    """Draw the quantiles over the size of the fleet."""
+    """Plot the quantiles over the size of the fleet."""
     figure, axes = plt.subplots(figsize=(6, 4))
-    for lost in LOSSES:
-        these = [row for row in rows if row["lost"] == lost]
+    for lost in LOSS_RATES:
+        selected = [row for row in rows if row["lost"] == lost]
         for quantile in ("p50", "p90", "p99"):
             label = f"{quantile}, {lost:.0%} of datagrams lost"
             style = "-" if lost == 0 else "--"
-            sizes = [row["nodes"] for row in these]
-            axes.plot(sizes, [row[quantile] for row in these], style, label=label)
+            sizes = [row["nodes"] for row in selected]
+            axes.plot(sizes, [row[quantile] for row in selected], style, label=label)
     axes.set_xscale("log")
     axes.set_xlabel("nodes")
-    axes.set_ylabel("age of what a gate said, s")
+    axes.set_ylabel("age of gate status, s")
     axes.legend(fontsize=7)
     figure.tight_layout()
     figure.savefig(RESULTS / "reports.png", dpi=100)
 
 
 def main() -> None:
-    """Measure, and write table and plot."""
+    """Run all measurements; save them and a plot, and print a table."""
     argparse.ArgumentParser(description=__doc__).parse_args()
-    rows = [measure(size, lost) for size in SIZES for lost in LOSSES]
+    rows = [measure(size, lost) for size in SIZES for lost in LOSS_RATES]
     (RESULTS / "reports.json").write_text(json.dumps(rows, indent=1) + "\n")
     plot(rows)
     print(table(list(rows[0]), [list(row.values()) for row in rows]))
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -1,4 +1,10 @@
-"""What the nodes share: rules under load, a table outage, fresh nodes."""
+"""Propagation of rules, a store outage, and readiness of new nodes.
+
+Measures, in a fleet of nine nodes in three data centres: store reads per second; the
+seconds from the commit of a revision to its being in force at each node; the share of
+POST requests that succeed during a store outage; and the seconds until a new node is
+ready with the store up, slow and down.
+"""
 
 import argparse
 import asyncio
@@ -14,8 +20,8 @@
 
 RESULTS = Path(__file__).parent.parent / "docs" / "measurements" / "shared.json"
 SPEC = ServiceSpec(1, 50, 200, 0.01)
-OUTAGE = 60.0
-RATE = 20
+OUTAGE_S = 60.0
+POSTS_PER_SECOND = 20
 
 
 async def start(cluster: Cluster, count: int) -> None:
@@ -25,8 +31,8 @@
     await cluster.wait_ready()
 
 
-async def apply(cluster: Cluster, revision: int) -> None:
-    """Commit a revision through the operators' command."""
+async def apply_revision(cluster: Cluster, revision: int) -> None:
+    """Commit a revision of the rules through the command line."""
     path = cluster.folder / "r.yaml"
     path.write_text(f"rules: [{{name: r{revision}, then: {{attempts: 1}}}}]")
     await cluster.rattanfork(
@@ -34,8 +40,8 @@
     )
 
 
-async def in_force(cluster: Cluster, node, revision: int, since: float) -> float:
-    """Return seconds until a revision is in force at a node."""
+async def wait_in_force(cluster: Cluster, node, revision: int, since: float) -> float:
+    """Return seconds from ``since`` until a revision is in force at a node."""
     while True:
         status = await cluster.get(f"{node.admin}/status")
         if status["revision"] >= revision:
@@ -43,19 +49,22 @@
         await asyncio.sleep(0.02)
 
 
-async def spread(cluster: Cluster, changes: int, down: bool) -> list[float]:
-    """Return, for each change and node, seconds from accepted to in force."""
+async def measure_propagation(
+    cluster: Cluster, changes: int, down: bool
+) -> list[float]:
+    """Return, for each change and node, seconds from commit to in force."""
     took: list[float] = []
     status = await cluster.get(f"{cluster.nodes[0].admin}/status")
     revision = status["revision"]
     for _ in range(changes):
         revision += 1
-        await apply(cluster, revision)
+        await apply_revision(cluster, revision)
         since = monotonic()
         if down:
-            # One node has read it; all the others hear it from peers.
+            # Stop the store once one node has read the revision, so that the others
+            # have to get it from peers.
             nodes = cluster.nodes
-            first = [asyncio.ensure_future(in_force(cluster, n, revision, since))
+            first = [asyncio.ensure_future(wait_in_force(cluster, n, revision, since))
                      for n in nodes]  # fmt: skip
             await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
             await cluster.control(cluster.platform_url, mode="down")
@@ -63,13 +72,13 @@
             await cluster.control(cluster.platform_url, mode="up")
             await asyncio.sleep(1)
         else:
-            waits = (in_force(cluster, n, revision, since) for n in cluster.nodes)
+            waits = (wait_in_force(cluster, n, revision, since) for n in cluster.nodes)
             took += await asyncio.gather(*waits)
     return took
 
 
 async def post_through_outage(cluster: Cluster, seconds: float) -> dict:
-    """Return the share of postings answered while the table is down."""
+    """Return the share of POST requests that succeed while the store is down."""
     counts: Counter = Counter()
     tasks = []
     async with aiohttp.ClientSession() as session:
@@ -93,7 +102,7 @@
         while monotonic() < end:
             tasks.append(asyncio.ensure_future(post(number)))
             number += 1
-            await asyncio.sleep(1 / RATE)
+            await asyncio.sleep(1 / POSTS_PER_SECOND)
         await asyncio.gather(*tasks)
     return {
         kind: counts[kind, True] / max(1, counts[kind, True] + counts[kind, False])
@@ -101,11 +110,11 @@
     }
 
 
-async def fresh_node(
+async def time_to_ready(
     cluster: Cluster, mode: str, delay: float, peers: bool
 ) -> float | None:
-    """Return seconds from start to ready of a fresh node, None if over 8."""
-    # More data centres than there are: peers can never suffice.
+    """Return seconds from start to ready of a new node; None if more than 8."""
+    # Requiring 15 data centres makes the answers of peers insufficient.
     cluster.node_settings = {} if peers else {"rules": {"data_centres_needed": 15}}
     await cluster.control(cluster.platform_url, mode=mode, delay=delay)
     began = monotonic()
@@ -130,7 +139,7 @@
 
 
 async def main(save: bool, seconds: float) -> None:
-    """Run all parts."""
+    """Run all measurements; print the results as JSON."""
     result: dict = {}
     async with Cluster() as cluster:
         await start(cluster, 9)
@@ -141,7 +150,7 @@
             after["reads"] - before["reads"]
         ) / 10
         for name, down in (("table up", False), ("table down at once", True)):
-            took = await spread(cluster, 8, down)
+            took = await measure_propagation(cluster, 8, down)
             cuts = quantiles(took, n=100)
             result[f"accepted to in force, {name}"] = {
                 "samples": len(took),
@@ -161,7 +170,9 @@
                 ("table 0.8 s slow", "slow", 0.8),
                 ("table down", "down", 0.0),
             ):
-                took = [await fresh_node(cluster, mode, delay, peers) for _ in range(3)]
+                took = [
+                    await time_to_ready(cluster, mode, delay, peers) for _ in range(3)
+                ]
                 fresh[name] = [round(t, 2) if t else None for t in took]
             asked = "asking peers too" if peers else "table only"
             result[f"fresh node ready, s, {asked}"] = fresh
@@ -172,7 +183,7 @@
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=OUTAGE)
+    parser.add_argument("--seconds", type=float, default=OUTAGE_S)
     parser.add_argument("--save", action="store_true")
     options = parser.parse_args()
     uvloop.run(main(options.save, options.seconds))
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,9 @@
-"""Slopes of state, time and bytes, for docs/CAPACITY.md."""
+"""How memory, processor time and message sizes grow with load, for docs/CAPACITY.md.
+
+Measures data structures of the core and of peer connections alone, without sockets,
+at several sizes.  Memory and messages are in bytes, processor time is in microseconds
+per operation unless a key says otherwise.
+"""
 
 import argparse
 import gc
@@ -35,7 +40,7 @@
 
 
 def memory_of(make: Callable[[], object]) -> tuple[object, int]:
-    """Return what is made and the bytes it holds."""
+    """Return the object that ``make`` creates and the bytes that it holds."""
     gc.collect()
     tracemalloc.start()
     made = make()
@@ -46,14 +51,14 @@
 
 
 def microseconds(work: Callable[[], object], times: int) -> float:
-    """Return the mean processor time of one call."""
+    """Return the mean processor time of one call in microseconds."""
     began = process_time()
     for _ in range(times):
         work()
     return 1e6 * (process_time() - began) / times
 
 
-def a_member(i: int) -> Member:
+def create_member(i: int) -> Member:
     """Return a member with names as long as in production."""
     return Member(
         f"service-{i % 1400:04d}-{i:05d}",
@@ -68,15 +73,15 @@
 
 
 def members() -> list[dict]:
-    """Measure one view at several sizes."""
+    """Measure the membership of one node at several fleet sizes."""
     rows = []
     for size in SIZES:
         clock = ManualClock()
-        me = a_member(0)
+        me = create_member(0)
 
         def make(size=size, clock=clock, me=me) -> Membership:
             view = Membership(clock, Random(1), me)
-            view.merge(a_member(i) for i in range(1, size))
+            view.merge(create_member(i) for i in range(1, size))
             return view
 
         view, held = memory_of(make)
@@ -85,8 +90,8 @@
             clock.advance(0.1)
             view.tick()
 
-        def rumour(view=view) -> None:
-            known = view.members[a_member(7).name]
+        def merge_update(view=view) -> None:
+            known = view.members[create_member(7).name]
             view.merge([known.replace(incarnation=known.incarnation + 1)])
 
         names = list(view.members)
@@ -100,7 +105,7 @@
                 "members": size,
                 "bytes": held,
                 "tick_us": microseconds(tick, 300),
-                "rumour_us": microseconds(rumour, 2000),
+                "rumour_us": microseconds(merge_update, 2000),
                 "duty_us": microseconds(
                     lambda names=names: holds_role(names[0], names, "rules", 2), 20
                 ),
@@ -117,10 +122,11 @@
     rows = []
     for size in SIZES:
         clock = ManualClock()
-        view = Membership(clock, Random(1), a_member(0))
-        view.merge(a_member(i) for i in range(1, size))
+        view = Membership(clock, Random(1), create_member(0))
+        view.merge(create_member(i) for i in range(1, size))
         view.merge(
-            a_member(i).replace(status=MemberStatus.SUSPECT) for i in range(1, size, 2)
+            create_member(i).replace(status=MemberStatus.SUSPECT)
+            for i in range(1, size, 2)
         )
 
         def tick(view=view, clock=clock) -> None:
@@ -132,7 +138,7 @@
 
 
 def rules() -> list[dict]:
-    """Measure the match at several numbers of rules."""
+    """Measure matching, building and loading of rule sets of several sizes."""
     rows = []
     for size in (10, 200, 1000, 2000):
         document = RulesDocument.model_validate(
@@ -191,7 +197,7 @@
 
 
 def keys() -> list[dict]:
-    """Measure a guard's memory of keys."""
+    """Measure a run ledger with several numbers of idempotency keys."""
     rows = []
     for size in (1000, 10_000, 50_000):
         clock = ManualClock()
@@ -215,7 +221,7 @@
 
 
 def hot_path() -> dict:
-    """Measure the decisions of one call."""
+    """Measure the operations on the path of one call."""
     clock = MonotonicClock()
     admission = AdmissionController(clock, AdmissionSettings(slots=120, warmup=0))
     count = 0
@@ -243,7 +249,11 @@
 
     packed = msgpack.unpackb(encode_message(call))
     gossip = Ping(
-        1, a_member(1), "x@y", CachedVersions(3), tuple(a_member(i) for i in range(6))
+        1,
+        create_member(1),
+        "x@y",
+        CachedVersions(3),
+        tuple(create_member(i) for i in range(6)),
     )
     datagram = encode_gossip(gossip, b"k")
     none: frozenset[str] = frozenset()
@@ -265,7 +275,7 @@
 
 
 async def peers() -> list[dict]:
-    """Measure the memory and the heartbeat of connections, without sockets."""
+    """Measure memory and heartbeat of peer links that have no sockets."""
     rows = []
     clock = MonotonicClock()
     for size in (10, 100, 500):
@@ -280,18 +290,22 @@
         for link in links:
             link._open = True
 
-        def beat(links=links) -> None:
+        def send_heartbeats(links=links) -> None:
             for link in links:
                 link.heartbeat(0.6, 5.0)
 
         rows.append(
-            {"links": size, "bytes": held, "heartbeat_us": microseconds(beat, 50)}
+            {
+                "links": size,
+                "bytes": held,
+                "heartbeat_us": microseconds(send_heartbeats, 50),
+            }
         )
     return rows
 
 
 def main(save: bool) -> None:
-    """Run all and print them."""
+    """Run all measurements; print the results as JSON."""
     result = {
         "members": members(),
         "half suspect": suspects(),
--- a/bench/speed.py
+++ b/bench/speed.py
@@ -1,4 +1,10 @@
-"""Added latency and cost per request, against one bare aiohttp forwarder."""
+"""Added latency and processor time per request, against a bare aiohttp forwarder.
+
+Compares four paths to one upstream: direct, through the bare forwarder, through two
+nodes, and through two nodes that relay by routes.  Latency is in milliseconds, with
+one request at a time and with 200 at once; throughput is in requests per second and
+per second of processor time.
+"""
 
 import argparse
 import asyncio
@@ -14,21 +20,21 @@
 from rattanfork_testkit import Cluster, ServiceSpec
 
 _SPEC = ServiceSpec(1, 400, 1000, 0.0)
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _RESULTS = Path(__file__).parent.parent / "docs" / "measurements" / "speed.json"
 
 
 def cpu_seconds(process) -> float:
-    """Return the processor time a process has used."""
+    """Return the processor time in seconds that a process has used."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
-async def one_at_a_time(
+async def measure_sequential(
     urls: dict[str, str], headers: dict[str, str], count: int
 ) -> dict[str, list[float]]:
-    """Return the time of each call, taking turns between the ways."""
-    took: dict[str, list[float]] = {name: [] for name in urls}
+    """Return the seconds of each request, in turn on each path after 200 to warm up."""
+    latencies: dict[str, list[float]] = {name: [] for name in urls}
     async with aiohttp.ClientSession(headers=headers) as session:
         for i in range(count + 200):
             for name, url in urls.items():
@@ -37,15 +43,15 @@
                     await response.read()
                     assert response.status == 200, (name, response.status)
                 if i >= 200:
-                    took[name].append(monotonic() - began)
-    return took
+                    latencies[name].append(monotonic() - began)
+    return latencies
 
 
-async def concurrent(
+async def measure_concurrent(
     url: str, headers: dict[str, str], total: int, width: int
 ) -> list[float]:
-    """Return the time of each of many calls, some at once."""
-    took: list[float] = []
+    """Return the seconds of each of ``total`` requests, ``width`` of them at once."""
+    latencies: list[float] = []
     left = total
 
     async with aiohttp.ClientSession(
@@ -60,20 +66,20 @@
                 async with session.get(url) as response:
                     await response.read()
                     assert response.status == 200, (url, response.status)
-                took.append(monotonic() - began)
+                latencies.append(monotonic() - began)
 
         await asyncio.gather(*(worker() for _ in range(width)))
-    return took
+    return latencies
 
 
-def milliseconds(samples: list[float]) -> tuple[float, float]:
+def percentiles_ms(samples: list[float]) -> tuple[float, float]:
     """Return the 50th and the 99th percentile in milliseconds."""
     cuts = quantiles(samples, n=100)
     return 1000 * cuts[49], 1000 * cuts[98]
 
 
 async def main(count: int, total: int, save: bool) -> None:
-    """Run the bench and print a table."""
+    """Run the benchmark; print the results as JSON."""
     async with Cluster() as cluster:
         settings = {"limits": {"requests": 5000}}
         cluster.node_settings = settings
@@ -103,7 +109,9 @@
                 "by routes": by_routes.processes,
             }
             result = await measure(urls, processes, by_routes.headers, count, total)
-    result["ratios"] = {way: ratios(result, way) for way in ("two nodes", "by routes")}
+    result["ratios"] = {
+        path: ratios(result, path) for path in ("two nodes", "by routes")
+    }
     print(json.dumps(result, indent=1))
     if save:
         _RESULTS.parent.mkdir(parents=True, exist_ok=True)
@@ -117,12 +125,12 @@
     count: int,
     total: int,
 ) -> dict:
-    """Return what each way adds to a call, and what it costs under load."""
-    took = await one_at_a_time(urls, headers, count)
+    """Return the latency each path adds, and its cost with 200 requests at once."""
+    latencies = await measure_sequential(urls, headers, count)
     result: dict = {"one at a time": {}, "200 at once": {}}
-    base = milliseconds(took["direct"])
+    base = percentiles_ms(latencies["direct"])
     for name in urls:
-        p50, p99 = milliseconds(took[name])
+        p50, p99 = percentiles_ms(latencies[name])
         result["one at a time"][name] = {
             "p50_ms": round(p50, 3),
             "p99_ms": round(p99, 3),
@@ -130,13 +138,13 @@
             "added_p99_ms": round(p99 - base[1], 3),
         }
     for name, group in processes.items():
-        await concurrent(urls[name], headers, total // 4, 200)
+        await measure_concurrent(urls[name], headers, total // 4, 200)
         before = sum(cpu_seconds(p) for p in group)
         began = monotonic()
-        samples = await concurrent(urls[name], headers, total, 200)
+        samples = await measure_concurrent(urls[name], headers, total, 200)
         seconds = monotonic() - began
         cpu = sum(cpu_seconds(p) for p in group) - before
-        p50, p99 = milliseconds(samples)
+        p50, p99 = percentiles_ms(samples)
         result["200 at once"][name] = {
             "p50_ms": round(p50, 2),
             "p99_ms": round(p99, 2),
@@ -146,15 +154,15 @@
     return result
 
 
-def ratios(result: dict, way: str) -> dict[str, float]:
-    """Return a way's figures as multiples of the bare forwarder's."""
+def ratios(result: dict, path: str) -> dict[str, float]:
+    """Return the results of a path as multiples of the bare forwarder's."""
     one, many = result["one at a time"], result["200 at once"]
     found = {
-        "added p50": one[way]["added_p50_ms"] / one["bare"]["added_p50_ms"],
-        "added p99": one[way]["added_p99_ms"] / one["bare"]["added_p99_ms"],
-        "total p99": one[way]["p99_ms"] / one["bare"]["p99_ms"],
-        "200 p99": many[way]["p99_ms"] / many["bare"]["p99_ms"],
-        "per core-second": many[way]["per_core_second"]
+        "added p50": one[path]["added_p50_ms"] / one["bare"]["added_p50_ms"],
+        "added p99": one[path]["added_p99_ms"] / one["bare"]["added_p99_ms"],
+        "total p99": one[path]["p99_ms"] / one["bare"]["p99_ms"],
+        "200 p99": many[path]["p99_ms"] / many["bare"]["p99_ms"],
+        "per core-second": many[path]["per_core_second"]
         / many["bare"]["per_core_second"],
     }
     return {name: round(value, 2) for name, value in found.items()}
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,4 +1,7 @@
-"""Time from a start of all nodes at once to the first request each serves."""
+"""Seconds from a simultaneous start of all nodes to the first request each serves.
+
+Prints percentiles over all nodes and rounds, and the store calls of the first start.
+"""
 
 import argparse
 import asyncio
@@ -17,8 +20,8 @@
 _RESULTS = Path(__file__).parent.parent / "docs" / "measurements" / "starts.json"
 
 
-async def first_served(node: NodeProcess, number: int) -> float:
-    """Start a node; return the seconds until it has answered a request."""
+async def time_to_first_response(node: NodeProcess, number: int) -> float:
+    """Start a node; return the seconds until it responds to a request with 200."""
     began = monotonic()
     await node.start()
 
@@ -31,7 +34,7 @@
 
 
 async def main(nodes: int, rounds: int, save: bool) -> None:
-    """Kill and start all nodes some times, and print the times."""
+    """Start and kill all nodes several times; print the results as JSON."""
     with tempfile.TemporaryDirectory() as folder:
         store, ports = FakeStore(), FreePorts()
         await store.start()
@@ -45,7 +48,9 @@
         times: list[float] = []
         calls_before = 0
         for number in range(rounds):
-            times += await asyncio.gather(*(first_served(n, number) for n in fleet))
+            times += await asyncio.gather(
+                *(time_to_first_response(n, number) for n in fleet)
+            )
             await asyncio.gather(*(n.stop(signal.SIGKILL) for n in fleet))
             calls_before = len(store.calls) if not number else calls_before
         store.stop()
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,4 +1,11 @@
-"""Goodput, amplification, wasted work and recovery under surge and faults."""
+"""Goodput, retry amplification, wasted work and recovery under surge and faults.
+
+Runs a four-service call graph against an open-loop load and compares three systems:
+``rattanfork`` nodes; bare forwarders with ``retries`` and long queues; and bare
+forwarders without retries, whose upstreams ``limit`` their queues to 4.  Each scenario has a
+baseline, a trigger and a recovery phase.  Rates are in requests per second, times in
+seconds; shares are relative to what the bottleneck service could serve.
+"""
 
 import argparse
 import asyncio
@@ -28,13 +35,17 @@
     "declarations": ServiceSpec(2, 36, 800, 0.01, {"check": ("donors/search",)}),
     "donors": ServiceSpec(3, 3, 300, 0.1),
 }
-DEEPEST = "donors"
-CAPACITY = 3 * 3 / 0.1
-TIMEOUT = 2.4
+#: Last service of the call graph, which is the bottleneck.
+BOTTLENECK = "donors"
+#: Requests per second that the bottleneck can serve: 3 upstreams with 3 slots, 0.1 s.
+CAPACITY_RPS = 3 * 3 / 0.1
+TIMEOUT_S = 2.4
+#: Whether to print wasted work and counters after each scenario.
 DEBUG = False
-TRY_TIMEOUT = 1.2
-P99_TARGET = 0.75
-BEFORE, TRIGGER, AFTER = 3.0, 6.0, 6.0
+ATTEMPT_TIMEOUT_S = 1.2
+P99_TARGET_S = 0.75
+#: Durations of the phases of a scenario.
+BASELINE_S, TRIGGER_S, RECOVERY_S = 3.0, 6.0, 6.0
 RULES = """\
 rules:
 - {name: filings, when: {service: claims, operation: file},
@@ -46,8 +57,8 @@
 
 
 def load(total: float, blind: bool) -> list[LoadSpec]:
-    """Return the callers' load for a demand in requests a second."""
-    common = {"timeout": TIMEOUT, "try_timeout": TRY_TIMEOUT, "retries": 3}
+    """Return the load of all callers for a total rate in requests per second."""
+    common = {"timeout": TIMEOUT_S, "try_timeout": ATTEMPT_TIMEOUT_S, "retries": 3}
     return [
         LoadSpec("file", "claims/file", 8, method="POST", blind=blind, **common),
         LoadSpec("view", "claims/view", 12, **common),
@@ -57,20 +68,24 @@
 
 @dataclass
 class Scenario:
-    """A trigger, and how long it lasts."""
+    """Load and fault of one run.
+
+    ``demand`` and ``surge`` are multiples of :data:`CAPACITY_RPS`; ``capacity`` is the
+    rate in requests per second that remains during the fault.
+    """
 
     name: str
     demand: float = 0.75
     surge: float = 0.75
     begin: Callable[["Run"], Awaitable[None]] | None = None
     end: Callable[["Run"], Awaitable[None]] | None = None
-    capacity: float = CAPACITY
+    capacity: float = CAPACITY_RPS
     baselines: bool = False
 
 
 @dataclass
 class Run:
-    """One system under all scenarios."""
+    """One running system and its results, by scenario."""
 
     system: str
     cluster: Cluster
@@ -78,34 +93,36 @@
     results: dict = field(default_factory=dict)
     seen: dict = field(default_factory=dict)
 
-    def deepest(self) -> list:
-        """Return the instances of the deepest service."""
-        return [n for n in self.cluster.nodes if n.service == DEEPEST]
+    def bottleneck_nodes(self) -> list:
+        """Return the instances of the bottleneck service."""
+        return [n for n in self.cluster.nodes if n.service == BOTTLENECK]
 
-    async def play(self, scenario: Scenario) -> dict:
-        """Run a scenario and return its figures."""
+    async def run_scenario(self, scenario: Scenario) -> dict:
+        """Run a scenario and return its results."""
         for node in self.cluster.nodes:
             await self.cluster.control(node.upstream_url, forget=True)
-        edges = [n.edge for n in self.cluster.nodes if n.service != DEEPEST]
+        edges = [n.edge for n in self.cluster.nodes if n.service != BOTTLENECK]
         caller = OpenLoopCaller(edges, self.seed)
-        specs = load(scenario.demand * CAPACITY, self.system != "rattanfork")
+        specs = load(scenario.demand * CAPACITY_RPS, self.system != "rattanfork")
         began = monotonic()
-        sending = asyncio.ensure_future(caller.run(specs, BEFORE + TRIGGER + AFTER))
-        await asyncio.sleep(BEFORE)
+        sending = asyncio.ensure_future(
+            caller.run(specs, BASELINE_S + TRIGGER_S + RECOVERY_S)
+        )
+        await asyncio.sleep(BASELINE_S)
         if scenario.begin:
             await scenario.begin(self)
-        caller.set_rate("browse", scenario.surge * CAPACITY - 20)
-        await asyncio.sleep(TRIGGER)
-        caller.set_rate("browse", scenario.demand * CAPACITY - 20)
+        caller.set_rate("browse", scenario.surge * CAPACITY_RPS - 20)
+        await asyncio.sleep(TRIGGER_S)
+        caller.set_rate("browse", scenario.demand * CAPACITY_RPS - 20)
         if scenario.end:
             await scenario.end(self)
         stats = await sending
-        runs, arrived = await self._ledgers()
+        runs, arrived = await self._fetch_ledgers()
         if DEBUG:
-            await self._debug(began, runs, stats.samples)
-        return figures(scenario, stats.samples, began, runs, arrived)
+            await self._print_debug(began, runs, stats.samples)
+        return summarize(scenario, stats.samples, began, runs, arrived)
 
-    async def _debug(self, began: float, runs: list, samples: list) -> None:
+    async def _print_debug(self, began: float, runs: list, samples: list) -> None:
         good = {s.request_id for s in samples if s.good}
         waste = Counter(
             int(r["at"] - began) for r in runs if r["request_id"] not in good
@@ -124,7 +141,7 @@
                 print("   ", *key, n - self.seen.get(key, 0))
         self.seen = new
 
-    async def _ledgers(self) -> tuple[list[dict], int]:
+    async def _fetch_ledgers(self) -> tuple[list[dict], int]:
         runs, arrived = [], 0
         for node in self.cluster.nodes:
             try:
@@ -132,31 +149,35 @@
             except OSError:
                 continue
             runs += answer["ledger"]
-            if node.service == DEEPEST:
+            if node.service == BOTTLENECK:
                 arrived += answer["counts"]["arrived"]
         return runs, arrived
 
 
-def figures(
+def summarize(
     scenario: Scenario,
     samples: list[Sample],
     began: float,
     runs: list[dict],
     arrived: int,
 ) -> dict:
-    """Return the figures of a scenario."""
-    during = [s for s in samples if BEFORE + 0.5 <= s.began - began < BEFORE + TRIGGER]
-    seconds = TRIGGER - 0.5
+    """Return the results of a scenario, as saved."""
+    during = [
+        s
+        for s in samples
+        if BASELINE_S + 0.5 <= s.began - began < BASELINE_S + TRIGGER_S
+    ]
+    seconds = TRIGGER_S - 0.5
     good_ids = {s.request_id for s in samples if s.good}
     wasted = sum(run["request_id"] not in good_ids for run in runs)
     posts = Counter(r["body"] for r in runs if r["method"] == "POST")
     offered = len(during) / seconds
     goodput = sum(s.good for s in during) / seconds
-    reachable = min(offered, scenario.capacity)
+    attainable = min(offered, scenario.capacity)
     return {
         "offered": round(offered, 1),
         "goodput": round(goodput, 1),
-        "goodput_share": round(goodput / reachable, 3),
+        "goodput_share": round(goodput / attainable, 3),
         "by_kind": {
             kind: round(share(s for s in during if s.name == kind), 4)
             for kind in ("file", "view", "browse")
@@ -168,86 +189,86 @@
             r["path"].split("?")[0] for r in runs if r["request_id"] not in good_ids
         ),
         "run_twice": sum(n - 1 for n in posts.values()),
-        "recovery_goodput_s": recovery(samples, began, goodput_back),
-        "recovery_p99_s": recovery(samples, began, p99_back),
+        "recovery_goodput_s": recovery(samples, began, goodput_recovered),
+        "recovery_p99_s": recovery(samples, began, p99_recovered),
         "timeline": timeline(samples, began),
     }
 
 
 def share(samples) -> float:
-    """Return the share of requests answered whole and in time."""
+    """Return the share of requests with a complete response in time."""
     good = [s.good for s in samples]
     return sum(good) / len(good) if good else 1.0
 
 
 def window(samples: list[Sample], began: float, at: float, width: float) -> list:
-    """Return the samples begun in a window."""
+    """Return the samples that started in a time window."""
     return [s for s in samples if at <= s.began - began < at + width]
 
 
-def goodput_back(samples: list[Sample], before: float) -> bool:
-    """Return whether goodput is back at 95% of what it was."""
+def goodput_recovered(samples: list[Sample], before: float) -> bool:
+    """Return whether goodput is at least 95% of the baseline."""
     return share(samples) >= 0.95 * before
 
 
-def p99_back(samples: list[Sample], before: float) -> bool:
-    """Return whether the 99th percentile is under its target."""
-    took = [s.took if s.good else TIMEOUT for s in samples]
-    return len(took) > 1 and quantiles(took, n=100)[98] <= P99_TARGET
+def p99_recovered(samples: list[Sample], before: float) -> bool:
+    """Return whether the 99th percentile of latency is within its target."""
+    took = [s.took if s.good else TIMEOUT_S for s in samples]
+    return len(took) > 1 and quantiles(took, n=100)[98] <= P99_TARGET_S
 
 
-def recovery(samples: list[Sample], began: float, back: Callable) -> float | None:
-    """Return seconds from the trigger's end until it is back; None if never."""
-    before = share(window(samples, began, 0.5, BEFORE - 0.5))
-    end = BEFORE + TRIGGER
-    steps = [i / 4 for i in range(int(4 * (AFTER - 1)))]
+def recovery(samples: list[Sample], began: float, recovered: Callable) -> float | None:
+    """Return seconds from the trigger's end until a lasting recovery; None if never."""
+    before = share(window(samples, began, 0.5, BASELINE_S - 0.5))
+    end = BASELINE_S + TRIGGER_S
+    steps = [i / 4 for i in range(int(4 * (RECOVERY_S - 1)))]
     for i, step in enumerate(steps):
         rest = steps[i : i + 4]
-        if all(back(window(samples, began, end + s, 1.0), before) for s in rest):
+        if all(recovered(window(samples, began, end + s, 1.0), before) for s in rest):
             return step
     return None
 
 
 def timeline(samples: list[Sample], began: float) -> list[float]:
-    """Return goodput in each half second."""
-    total = BEFORE + TRIGGER + AFTER
+    """Return goodput in requests per second for each half second."""
+    total = BASELINE_S + TRIGGER_S + RECOVERY_S
     counts = [0] * int(2 * total)
     for sample in samples:
-        place = int(2 * (sample.began - began))
-        if sample.good and 0 <= place < len(counts):
-            counts[place] += 2
+        index = int(2 * (sample.began - began))
+        if sample.good and 0 <= index < len(counts):
+            counts[index] += 2
     return counts
 
 
 async def slow_begin(run: Run) -> None:
-    """Make the deepest service five times slower."""
-    for node in run.deepest():
+    """Slow the bottleneck service down by a factor of five."""
+    for node in run.bottleneck_nodes():
         await run.cluster.control(node.upstream_url, slow=5.0)
 
 
 async def slow_end(run: Run) -> None:
-    """Make it fast again."""
-    for node in run.deepest():
+    """Restore the speed of the bottleneck service."""
+    for node in run.bottleneck_nodes():
         await run.cluster.control(node.upstream_url, slow=1.0)
 
 
-async def lie_begin(run: Run) -> None:
-    """Let load endpoints report a tenth, ten seconds late."""
-    for node in run.deepest():
+async def misreport_begin(run: Run) -> None:
+    """Make load endpoints report a tenth of the load, ten seconds late."""
+    for node in run.bottleneck_nodes():
         await run.cluster.control(node.upstream_url, load_lie=0.1, load_lag=10)
 
 
 async def kill_begin(run: Run) -> None:
-    """Kill one of the three deepest upstream instances."""
-    run.deepest()[0].upstream.kill()
+    """Kill one of the three upstreams of the bottleneck service."""
+    run.bottleneck_nodes()[0].upstream.kill()
 
 
 async def kill_end(run: Run) -> None:
-    """Start a cold replacement of it."""
-    node = run.deepest()[0]
+    """Start a replacement that needs to warm up."""
+    node = run.bottleneck_nodes()[0]
     run.cluster.start_upstream(
         node,
-        SERVICES[DEEPEST],
+        SERVICES[BOTTLENECK],
         99,
         announces=run.system == "rattanfork",
         cold_seconds=2.0,
@@ -256,14 +277,14 @@
     )
 
 
-async def freeze_begin(run: Run) -> None:
-    """Freeze the node of one deepest instance."""
-    run.deepest()[1].process.send_signal(signal.SIGSTOP)
+async def pause_begin(run: Run) -> None:
+    """Pause the node of one instance of the bottleneck service (SIGSTOP)."""
+    run.bottleneck_nodes()[1].process.send_signal(signal.SIGSTOP)
 
 
-async def freeze_end(run: Run) -> None:
-    """Wake it."""
-    run.deepest()[1].process.send_signal(signal.SIGCONT)
+async def pause_end(run: Run) -> None:
+    """Resume the paused node (SIGCONT)."""
+    run.bottleneck_nodes()[1].process.send_signal(signal.SIGCONT)
 
 
 SCENARIOS = [
@@ -271,13 +292,13 @@
     Scenario("2x", surge=2.0),
     Scenario("5x", surge=5.0, baselines=True),
     Scenario("10x", surge=10.0),
-    Scenario("lying load", surge=5.0, begin=lie_begin),
+    Scenario("lying load", surge=5.0, begin=misreport_begin),
     Scenario(
         "5x slower at 1.5x",
         surge=1.5,
         begin=slow_begin,
         end=slow_end,
-        capacity=CAPACITY / 5,
+        capacity=CAPACITY_RPS / 5,
         baselines=True,
     ),
     Scenario(
@@ -285,16 +306,16 @@
         surge=1.0,
         begin=kill_begin,
         end=kill_end,
-        capacity=CAPACITY * 2 / 3,
+        capacity=CAPACITY_RPS * 2 / 3,
         baselines=True,
     ),
     Scenario(
         "a node frozen",
         surge=0.6,
         demand=0.6,
-        begin=freeze_begin,
-        end=freeze_end,
-        capacity=CAPACITY * 2 / 3,
+        begin=pause_begin,
+        end=pause_end,
+        capacity=CAPACITY_RPS * 2 / 3,
     ),
 ]
 
@@ -317,22 +338,22 @@
             cluster.add_baseline(
                 SERVICES,
                 retries=3 if system == "retries" else 0,
-                try_timeout=TRY_TIMEOUT,
+                try_timeout=ATTEMPT_TIMEOUT_S,
                 queue=10_000 if system == "retries" else 4,
             )
         run = Run(system, cluster, seed)
         for scenario in SCENARIOS:
             wanted = not only or scenario.name in only
             if wanted and (system == "rattanfork" or scenario.baselines):
-                result = await run.play(scenario)
+                result = await run.run_scenario(scenario)
                 run.results[scenario.name] = result
-                show(system, scenario.name, result)
+                print_result(system, scenario.name, result)
                 await asyncio.sleep(2.0)
         return run.results
 
 
-def show(system: str, name: str, result: dict) -> None:
-    """Print one line."""
+def print_result(system: str, name: str, result: dict) -> None:
+    """Print the results of a scenario on one line."""
     kinds = " ".join(f"{k}={v:.3f}" for k, v in result["by_kind"].items())
     print(
         f"{system:10} {name:26} offered {result['offered']:6.1f} "
@@ -346,7 +367,7 @@
 
 
 def plot(results: dict, path: Path) -> None:
-    """Draw goodput over time."""
+    """Plot goodput over time, one panel for each scenario."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -361,17 +382,17 @@
             if name in scenarios:
                 line = scenarios[name]["timeline"]
                 axis.plot([i / 2 for i in range(len(line))], line, label=system)
-        axis.axhline(CAPACITY, color="grey", linewidth=0.5)
-        axis.axvspan(BEFORE, BEFORE + TRIGGER, alpha=0.1)
+        axis.axhline(CAPACITY_RPS, color="grey", linewidth=0.5)
+        axis.axvspan(BASELINE_S, BASELINE_S + TRIGGER_S, alpha=0.1)
         axis.set_title(name, fontsize=9)
         axis.legend(fontsize=7)
-    figure.supylabel("whole answers in time a second")
+    figure.supylabel("complete responses in time per second")
     figure.tight_layout()
     figure.savefig(path, dpi=80)
 
 
 async def main(options: argparse.Namespace) -> None:
-    """Run all systems."""
+    """Run the selected systems and save their results if asked to."""
     results = {}
     for system in options.systems.split(","):
         only = options.only.split(",") if options.only else []
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""Print the saved results as Markdown tables, for the pages in docs/."""
+"""Prints the saved results of the benchmarks as Markdown tables for docs/."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def surge(data: dict) -> str:
-    """Return the surges, one line for each system and scenario."""
+    """Return the results of ``surge.py``, one row for each scenario and system."""
     rows = []
     for system, scenarios in data["results"].items():
         for name, r in scenarios.items():
@@ -30,8 +30,8 @@
                     f"{r['amplification']:.2f}",
                     f"{r['wasted']:.1%}",
                     r["run_twice"],
-                    _seconds(r["recovery_goodput_s"]),
-                    _seconds(r["recovery_p99_s"]),
+                    _format_recovery(r["recovery_goodput_s"]),
+                    _format_recovery(r["recovery_p99_s"]),
                 ]
             )
     order = list(data["results"]["rattanfork"])
@@ -41,23 +41,23 @@
     return table([*columns, "goodput back", "p99 back"], rows)
 
 
-def _seconds(value: float | None) -> str:
+def _format_recovery(value: float | None) -> str:
     return "never" if value is None else f"{value:g} s"
 
 
 def rows_of(entries: list[dict]) -> str:
-    """Return entries of like shape as a table."""
+    """Return dictionaries as a table with the union of their keys as columns."""
     columns = list(dict.fromkeys(key for entry in entries for key in entry))
-    rows = [[_short(entry.get(c, "")) for c in columns] for entry in entries]
+    rows = [[_format(entry.get(c, "")) for c in columns] for entry in entries]
     return table(columns, rows)
 
 
-def _short(value: object) -> object:
+def _format(value: object) -> object:
     return f"{value:.1f}" if isinstance(value, float) else value
 
 
 def main() -> None:
-    """Print all that has been saved."""
+    """Print all saved results."""
     for name in ("surge", "shared", "slopes", "speed"):
         path = FOLDER / f"{name}.json"
         if not path.exists():
