--- a/packages/rattanfork-soak/rattanfork_soak/checks.py
+++ b/packages/rattanfork-soak/rattanfork_soak/checks.py
@@ -1,4 +1,21 @@
-"""Checks the product's promises against the records of clients and workers."""
+"""Checks the product's promises against the records of clients and workers.
+
+The promises, by the short names that violations carry:
+
+- ``twice``: a non-idempotent request runs at most once.
+- ``refused``: a request whose status says that it did not run, did not run.
+- ``mixed``: a response is complete and the one of the worker that ran the request.
+- ``unasked``: workers get only requests that were sent, unaltered, with the
+  client account and without the key.
+- ``lost``: a draining node responds to requests that a worker has run.
+- ``drain``: no request arrives at a worker after its draining was acknowledged.
+- ``budget``: a request that crashes workers is quarantined.
+- ``revoked`` and ``denied``: a revoked key is rejected, a valid key accepted.
+- ``configuration``: a change comes into force in time and is not reverted.
+- ``time`` and ``recovery``: responses come in time, and service recovers after
+  faults.
+- ``process``: no node exits unless it is stopped.
+"""
 
 from collections.abc import Iterable
 
