--- a/bench/confirmations.py
+++ b/bench/confirmations.py
@@ -4,7 +4,7 @@
 schedule of store polls.  A datagram takes 0.5 to 3 ms, a store poll 10 ms, a fetch
 from a peer 6 ms.  All watches are dead from the start, and a change is accepted at a
 random time.  A second run has the store reject a third of the nodes.  Also reports
-store polls per second and datagrams per second and node.
+store polls per second (saved as questions) and datagrams per second and node.
 """
 
 import argparse
@@ -133,7 +133,7 @@
             self.send(self.view.ping_members(self.random.sample(self.group, notified)))
 
     def fetch(self) -> None:
-        """Fetch a newer version from the peer that announced it, else from a random one."""
+        """Fetch a newer version from the peer that announced it or a random one."""
         if self.newest > self.version:
             peer, self.fetch_source = self.fetch_source, None
             peer = peer or self.fleet.random.choice(self.fleet.nodes)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -2,7 +2,8 @@
 
 Measures data structures of the core and of peer connections alone, without sockets,
 at several sizes.  Memory and messages are in bytes, processor time is in microseconds
-per operation unless a key says otherwise.
+per operation unless a key says otherwise.  In the saved results a rumour is a gossip
+update, a duty the check whether a member holds a role, a hint a known threshold.
 """
 
 import argparse
@@ -84,7 +85,7 @@
             view.merge(create_member(i) for i in range(1, size))
             return view
 
-        view, held = memory_of(make)
+        view, held_bytes = memory_of(make)
 
         def tick(view=view, clock=clock) -> None:
             clock.advance(0.1)
@@ -103,7 +104,7 @@
         rows.append(
             {
                 "members": size,
-                "bytes": held,
+                "bytes": held_bytes,
                 "tick_us": microseconds(tick, 300),
                 "rumour_us": microseconds(merge_update, 2000),
                 "duty_us": microseconds(
@@ -157,13 +158,13 @@
                 ]
             }
         )
-        ruleset, held = memory_of(lambda document=document: RuleSet(document))
+        ruleset, held_bytes = memory_of(lambda document=document: RuleSet(document))
         indexed = RequestFacts("s3", "o3", "nobody")
         text = document.model_dump_json()
         rows.append(
             {
                 "rules": size,
-                "bytes": held,
+                "bytes": held_bytes,
                 "match_us": microseconds(
                     lambda r=ruleset, f=indexed: r.first_match(f), 5000
                 ),
@@ -215,8 +216,8 @@
         began = process_time()
         make()
         took = process_time() - began
-        _, held = memory_of(make)
-        rows.append({"keys": size, "bytes": held, "us_each": 1e6 * took / size})
+        _, held_bytes = memory_of(make)
+        rows.append({"keys": size, "bytes": held_bytes, "us_each": 1e6 * took / size})
     return rows
 
 
@@ -286,7 +287,7 @@
                 for _ in range(size)
             ]
 
-        links, held = memory_of(make)
+        links, held_bytes = memory_of(make)
         for link in links:
             link._open = True
 
@@ -297,7 +298,7 @@
         rows.append(
             {
                 "links": size,
-                "bytes": held,
+                "bytes": held_bytes,
                 "heartbeat_us": microseconds(send_heartbeats, 50),
             }
         )
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -46,13 +46,13 @@
             node = NodeProcess(f"n{number}", worker, store, Path(folder), ports)
             fleet.append(node)
         times: list[float] = []
-        calls_before = 0
+        first_start_calls = 0
         for number in range(rounds):
             times += await asyncio.gather(
                 *(time_to_first_response(n, number) for n in fleet)
             )
             await asyncio.gather(*(n.stop(signal.SIGKILL) for n in fleet))
-            calls_before = len(store.calls) if not number else calls_before
+            first_start_calls = len(store.calls) if not number else first_start_calls
         store.stop()
         cuts = quantiles(times, n=100)
         result = {
@@ -61,7 +61,7 @@
             "p50_s": round(cuts[49], 2),
             "p90_s": round(cuts[89], 2),
             "max_s": round(max(times), 2),
-            "store_calls_first_start": calls_before,
+            "store_calls_first_start": first_start_calls,
         }
         print(json.dumps(result, indent=1))
         if save:
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -2,9 +2,10 @@
 
 Runs a four-service call graph against an open-loop load and compares three systems:
 ``rattanfork`` nodes; bare forwarders with ``retries`` and long queues; and bare
-forwarders without retries, whose upstreams ``limit`` their queues to 4.  Each scenario has a
-baseline, a trigger and a recovery phase.  Rates are in requests per second, times in
-seconds; shares are relative to what the bottleneck service could serve.
+forwarders without retries, whose upstreams ``limit`` their queues to 4.  Each
+scenario has a baseline, a trigger and a recovery phase.  Rates are in requests per
+second, times in seconds; the share of goodput is relative to the offered rate or the
+capacity of the bottleneck service, whichever is lower.
 """
 
 import argparse
--- a/packages/rattanfork-soak/rattanfork_soak/site.py
+++ b/packages/rattanfork-soak/rattanfork_soak/site.py
@@ -90,7 +90,7 @@
 
     @property
     def stable(self) -> bool:
-        """Whether nothing has disturbed the node for the stable time."""
+        """Whether no start, stop, pause or fault has affected the node for a while."""
         since = self.now() - _STABLE_AFTER_S
         stopping = self.stop_requested_at is not None
         return (
@@ -100,11 +100,11 @@
         )
 
     def record_disturbance(self) -> None:
-        """Record that a fault starts or ends at this site."""
+        """Record that the node or its worker is disturbed now."""
         self._disturbed_at = self.now()
 
     def disturbed_since(self, at: float) -> bool:
-        """Return whether a fault has affected this site since a time."""
+        """Return whether the node or its worker was disturbed since a time."""
         return self._paused or self._disturbed_at >= at
 
     async def is_ready(self) -> bool:
