--- a/bench/client_accounts.py
+++ b/bench/client_accounts.py
@@ -40,7 +40,7 @@
         index.find(key)
     each = (perf_counter() - began) / LOOKUPS
     print(
-        f"{index.keys} keys: {median(seconds) * 1e3:.0f} ms, {index_bytes / 1e6:.0f} MB"
+        f"{index.key_count} keys: {median(seconds) * 1e3:.0f} ms, {index_bytes / 1e6:.0f} MB"
     )
     print(f"one lookup: {each * 1e6:.2f} us")
 
--- a/bench/shared.py
+++ b/bench/shared.py
@@ -35,7 +35,7 @@
     """Commit a revision of the rules through the command line."""
     path = cluster.folder / "r.yaml"
     path.write_text(f"rules: [{{name: r{revision}, then: {{attempts: 1}}}}]")
-    await cluster.rattanfork(
+    await cluster.run_cli(
         "rules", "apply", str(path), "--platform", cluster.platform_url
     )
 
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -59,9 +59,9 @@
 
 def load(total: float, blind: bool) -> list[LoadSpec]:
     """Return the load of all callers for a total rate in requests per second."""
-    common = {"timeout": TIMEOUT_S, "try_timeout": ATTEMPT_TIMEOUT_S, "retries": 3}
+    common = {"timeout": TIMEOUT_S, "attempt_timeout": ATTEMPT_TIMEOUT_S, "retries": 3}
     return [
-        LoadSpec("file", "claims/file", 8, method="POST", blind=blind, **common),
+        LoadSpec("file", "claims/file", 8, method="POST", retry_unsafe=blind, **common),
         LoadSpec("view", "claims/view", 12, **common),
         LoadSpec("browse", "receipts/browse", total - 20, **common),
     ]
@@ -124,7 +124,7 @@
         return summarize(scenario, stats.samples, began, runs, arrived)
 
     async def _print_debug(self, began: float, runs: list, samples: list) -> None:
-        good = {s.request_id for s in samples if s.good}
+        good = {s.request_id for s in samples if s.succeeded}
         waste = Counter(
             int(r["at"] - began) for r in runs if r["request_id"] not in good
         )
@@ -169,11 +169,11 @@
         if BASELINE_S + 0.5 <= s.began - began < BASELINE_S + TRIGGER_S
     ]
     seconds = TRIGGER_S - 0.5
-    good_ids = {s.request_id for s in samples if s.good}
+    good_ids = {s.request_id for s in samples if s.succeeded}
     wasted = sum(run["request_id"] not in good_ids for run in runs)
     posts = Counter(r["body"] for r in runs if r["method"] == "POST")
     offered = len(during) / seconds
-    goodput = sum(s.good for s in during) / seconds
+    goodput = sum(s.succeeded for s in during) / seconds
     attainable = min(offered, scenario.capacity)
     return {
         "offered": round(offered, 1),
@@ -198,7 +198,7 @@
 
 def share(samples) -> float:
     """Return the share of requests with a complete response in time."""
-    good = [s.good for s in samples]
+    good = [s.succeeded for s in samples]
     return sum(good) / len(good) if good else 1.0
 
 
@@ -214,7 +214,7 @@
 
 def p99_recovered(samples: list[Sample], before: float) -> bool:
     """Return whether the 99th percentile of latency is within its target."""
-    took = [s.took if s.good else TIMEOUT_S for s in samples]
+    took = [s.duration if s.succeeded else TIMEOUT_S for s in samples]
     return len(took) > 1 and quantiles(took, n=100)[98] <= P99_TARGET_S
 
 
@@ -236,7 +236,7 @@
     counts = [0] * int(2 * total)
     for sample in samples:
         index = int(2 * (sample.began - began))
-        if sample.good and 0 <= index < len(counts):
+        if sample.succeeded and 0 <= index < len(counts):
             counts[index] += 2
     return counts
 
@@ -331,7 +331,7 @@
             rules = cluster.folder / "rules.yaml"
             rules.write_text(RULES)
             await cluster.wait_ready()
-            await cluster.rattanfork(
+            await cluster.run_cli(
                 "rules", "apply", str(rules), "--platform", cluster.platform_url
             )
             await asyncio.sleep(2)
@@ -339,7 +339,7 @@
             cluster.add_baseline(
                 SERVICES,
                 retries=3 if system == "retries" else 0,
-                try_timeout=ATTEMPT_TIMEOUT_S,
+                attempt_timeout=ATTEMPT_TIMEOUT_S,
                 queue=10_000 if system == "retries" else 4,
             )
         run = Run(system, cluster, seed)
--- /dev/null
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -0,0 +1,180 @@
+"""Bound on the retries that reach one service."""
+
+from rattanfork_core.budgets.retry_demand import RetryDemand
+from rattanfork_core.clock import Clock
+from rattanfork_core.request.importance import RANK_LIMIT, Importance
+
+#: Number of buckets in the sliding window.
+_BUCKETS = 10
+#: Weight of one attempt in the moving average of the failure rate.
+_FAILURE_WEIGHT = 0.02
+#: Rank below which requests count as important: writes, and requests that a user
+#: waits for.
+_IMPORTANT_RANK = float(Importance.NORMAL)
+#: Minimum fraction of the window over which the remaining retries are spread:
+#: failures shorter than this are retried for all requests.
+_MIN_SPREAD = 0.15
+#: Fraction of the window over which important requests may use the remaining
+#: retries while others are denied.  No retries are reserved beyond it, since
+#: overloads are not expected to last.
+_IMPORTANT_SPREAD = 0.35
+#: Maximum fraction of the window: older retries leave the sliding window meanwhile.
+_MAX_SPREAD = 0.6
+
+
+class ServiceRetryBudget:
+    """Limits the retries that one node sends to, or admits for, a service.
+
+    Explanation
+    ===========
+
+    The bound is a fraction of the requests in the current window, or in the
+    previous one if that had more: when a service starts to shed load and callers
+    are refused early, retries are still allowed in proportion to its normal
+    traffic.  Requests and retries are counted in sliding windows, so that no
+    interval of that length exceeds the bound.
+
+    The remaining budget is spread over a time that grows with the expected number
+    of retries until a call succeeds.  At a low failure rate each retry saves a
+    request on which work was already done, so none is denied.  At a high failure
+    rate each request needs several retries for as long as the overload lasts, so
+    only important requests may use the budget faster.
+
+    If the demand in that time exceeds the budget, the most important requests get
+    all their retries and the others none.  A request whose run makes several calls
+    succeeds only if each of them does, so distributing retries evenly saves hardly
+    any: with half of the attempts refused and a fifth allowed as retries, one run
+    of four calls in twenty succeeds, against one in five if the same requests are
+    granted retries at each call.  Within one importance the rank is a hash of the
+    request (its fate), which is the same along the whole call chain.
+
+    Parameters
+    ==========
+
+    clock : Clock
+        Source of the current time.
+    ratio : float
+        Retries allowed per request.
+    extra : float
+        Additional retries allowed in each window.
+    window : float
+        Length of the window, in seconds.
+
+    Examples
+    ========
+
+    >>> from rattanfork_core.clock import ManualClock
+    >>> budget = ServiceRetryBudget(ManualClock(), ratio=0.5, extra=0, window=10)
+    >>> for _ in range(40):
+    ...     budget.count_request()
+    >>> [budget.spend(2.5) for _ in range(3)], budget.spent
+    ([True, True, True], 3)
+    """
+
+    __slots__ = (
+        "_clock",
+        "_bucket_seconds",
+        "_bucket",
+        "_ratio",
+        "_retries",
+        "_requests",
+        "_failure_rate",
+        "_demand",
+        "_window",
+        "extra",
+    )
+
+    def __init__(self, clock: Clock, ratio: float, extra: float, window: float) -> None:
+        self._clock = clock
+        self._ratio = ratio
+        #: Additional retries allowed per window; depends on the number of nodes.
+        self.extra = extra
+        self._window = window
+        self._bucket_seconds = window / _BUCKETS
+        self._bucket = int(clock.now() / self._bucket_seconds)
+        # Newest bucket first.  Requests are kept for two windows, because the
+        # previous window may set the bound.
+        self._requests = [0] * (2 * _BUCKETS)
+        self._retries = [0] * (_BUCKETS + 1)
+        self._failure_rate = 0.0
+        self._demand = RetryDemand(clock)
+
+    @property
+    def allowed(self) -> float:
+        """Retries allowed in the current window."""
+        self._advance()
+        requests = self._requests
+        peak = max(
+            sum(requests[:_BUCKETS]),
+            sum(requests[_BUCKETS // 2 : _BUCKETS + _BUCKETS // 2]),
+            sum(requests[_BUCKETS:]),
+        )
+        return self._ratio * peak + self.extra
+
+    @property
+    def spent(self) -> int:
+        """Retries in the window that ends now."""
+        self._advance()
+        return sum(self._retries)
+
+    @property
+    def rank_cutoff(self) -> float:
+        """Rank below which all requested retries are granted."""
+        if not self._demand.any_recent:
+            return float(RANK_LIMIT)
+        # Expected number of retries until a call succeeds.
+        needed = self._failure_rate / max(1e-3, 1.0 - self._failure_rate)
+        spread = min(_MAX_SPREAD, max(_MIN_SPREAD, needed))
+        cutoff = self._demand.rank_at_rate(self._retries_per_second(spread))
+        if cutoff >= _IMPORTANT_RANK or spread <= _IMPORTANT_SPREAD:
+            return cutoff
+        important = self._demand.rank_at_rate(
+            self._retries_per_second(_IMPORTANT_SPREAD)
+        )
+        return max(cutoff, min(important, _IMPORTANT_RANK))
+
+    def count_request(self) -> None:
+        """Count a first attempt."""
+        self._advance()
+        self._requests[0] += 1
+
+    def count_retry(self) -> None:
+        """Count a retry that did not ask for a grant."""
+        self._advance()
+        self._retries[0] += 1
+
+    def on_attempt(self, lost: bool) -> None:
+        """Count an attempt, and whether the service refused or failed it."""
+        self._failure_rate += _FAILURE_WEIGHT * (
+            (1.0 if lost else 0.0) - self._failure_rate
+        )
+
+    def spend(self, rank: float) -> bool:
+        """Take one retry for a request; return False if it must not be retried."""
+        self._demand.add(rank)
+        if self.spent + 1 > self.allowed or rank >= self.rank_cutoff:
+            return False
+        self._retries[0] += 1
+        return True
+
+    def refund(self) -> None:
+        """Return a retry that was not sent."""
+        self._advance()
+        for index, count in enumerate(self._retries):
+            if count:
+                self._retries[index] -= 1
+                return
+
+    def _retries_per_second(self, spread: float) -> float:
+        """Return the rate that uses up the budget in ``spread`` of a window."""
+        return max(0.0, self.allowed - self.spent) / (spread * self._window)
+
+    def _advance(self) -> None:
+        bucket = int(self._clock.now() / self._bucket_seconds)
+        elapsed = bucket - self._bucket
+        if elapsed <= 0:
+            return
+        self._bucket = bucket
+        for counts in (self._requests, self._retries):
+            fresh = [0] * min(elapsed, len(counts))
+            counts[:] = fresh + counts[: len(counts) - len(fresh)]
--- a/packages/rattanfork-core/rattanfork_core/rules/condition.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/condition.py
@@ -1,4 +1,4 @@
-"""When a rule holds."""
+"""The condition of a rule."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,46 +10,46 @@
 from rattanfork_core.rules.document import ConditionModel
 from rattanfork_core.rules.facts import RequestFacts
 
-_WILD = frozenset("*?[")
+_WILDCARDS = frozenset("*?[")
 
 
 @dataclass(frozen=True, slots=True)
 class NameSet:
-    """Names to match, some with wildcards; an empty set matches all."""
+    """Names and wildcard patterns; an empty set matches every name."""
 
     exact: frozenset[str]
     patterns: tuple[Pattern[str], ...]
 
     @classmethod
     def of(cls, names: list[str]) -> "NameSet":
-        """Return the set of the given names."""
-        wild = [name for name in names if _WILD & set(name)]
-        exact = frozenset(names) - frozenset(wild)
-        return cls(exact, tuple(compile_pattern(translate(name)) for name in wild))
+        """Return the set of the given names and patterns."""
+        patterns = [name for name in names if _WILDCARDS & set(name)]
+        exact = frozenset(names) - frozenset(patterns)
+        return cls(exact, tuple(compile_pattern(translate(name)) for name in patterns))
 
     @property
-    def open(self) -> bool:
-        """Whether everything matches."""
+    def matches_all(self) -> bool:
+        """Whether the set is empty and so matches every name."""
         return not self.exact and not self.patterns
 
-    def holds(self, name: str) -> bool:
+    def matches(self, name: str) -> bool:
         """Return whether the name matches."""
-        if name in self.exact or self.open:
+        if name in self.exact or self.matches_all:
             return True
         return any(pattern.match(name) for pattern in self.patterns)
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """All parts must hold.
+    """The conjunction of a rule's criteria; an empty criterion matches everything.
 
     Examples
     ========
 
     >>> condition = Condition.of(ConditionModel(service=["receipts"]))
-    >>> condition.holds(RequestFacts("receipts", "browse"))
+    >>> condition.matches(RequestFacts("receipts", "browse"))
     True
-    >>> list(condition.failures(RequestFacts("claims", "file")))
+    >>> list(condition.mismatches(RequestFacts("claims", "file")))
     ["service is 'claims'"]
     """
 
@@ -65,7 +65,7 @@
 
     @classmethod
     def of(cls, model: ConditionModel) -> "Condition":
-        """Return the condition a document states."""
+        """Return the condition of a validated document."""
         return cls(
             NameSet.of(model.service),
             NameSet.of(model.operation),
@@ -78,32 +78,32 @@
             model.attempt_above,
         )
 
-    def holds(self, facts: RequestFacts) -> bool:
-        """Return whether the condition holds for a request."""
-        return next(self.failures(facts), None) is None
+    def matches(self, facts: RequestFacts) -> bool:
+        """Return whether a request meets all criteria."""
+        return next(self.mismatches(facts), None) is None
 
-    def may_hold(self, facts: RequestFacts) -> bool:
-        """Return whether it holds at some load and attempt."""
+    def may_match(self, facts: RequestFacts) -> bool:
+        """Return whether a request meets all criteria except load and attempt."""
         return (
-            self.service.holds(facts.service)
-            and self.operation.holds(facts.operation)
-            and self.caller.holds(facts.caller)
-            and self.method.holds(facts.method)
-            and self.data_centre.holds(facts.data_centre)
+            self.service.matches(facts.service)
+            and self.operation.matches(facts.operation)
+            and self.caller.matches(facts.caller)
+            and self.method.matches(facts.method)
+            and self.data_centre.matches(facts.data_centre)
             and (not self.importance or facts.importance in self.importance)
         )
 
-    def failures(self, facts: RequestFacts) -> Iterator[str]:
-        """Yield why the condition does not hold, part by part."""
-        if not self.service.holds(facts.service):
+    def mismatches(self, facts: RequestFacts) -> Iterator[str]:
+        """Yield a reason for each criterion that a request does not meet."""
+        if not self.service.matches(facts.service):
             yield f"service is {facts.service!r}"
-        if not self.operation.holds(facts.operation):
+        if not self.operation.matches(facts.operation):
             yield f"operation is {facts.operation!r}"
-        if not self.caller.holds(facts.caller):
+        if not self.caller.matches(facts.caller):
             yield f"caller is {facts.caller!r}"
-        if not self.method.holds(facts.method):
+        if not self.method.matches(facts.method):
             yield f"method is {facts.method!r}"
-        if not self.data_centre.holds(facts.data_centre):
+        if not self.data_centre.matches(facts.data_centre):
             yield f"data centre is {facts.data_centre!r}"
         if self.importance and facts.importance not in self.importance:
             yield f"importance is {facts.importance.label!r}"
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -2,15 +2,16 @@
 
 import asyncio
 
-from rattanfork_core.atmostonce import ConnectionLedger
 from rattanfork_core.burn import BurnMeter
 from rattanfork_core.clock import Clock
+from rattanfork_core.idempotency import ConnectionCallLog
 from rattanfork_core.request import CallResult, Importance
 from rattanfork_core.request.importance import RANK_LIMIT
 from rattanfork_core.revision import RevisionState
 
-from rattanfork_node.guard import Guard, GuardRequest
+from rattanfork_node.call_gate import CallGate, GateRequest
 from rattanfork_node.peer import (
+    BasePeerHandler,
     BurnReply,
     BurnRequest,
     Call,
@@ -20,14 +21,13 @@
     FenceKey,
     FenceReply,
     FrameError,
-    LedgeredPeerHandler,
     PeerLink,
     Reply,
 )
 from rattanfork_node.telemetry import Counters
 
 
-class NodePeerHandler(LedgeredPeerHandler):
+class NodePeerHandler(BasePeerHandler):
     """Answers calls, fences, and questions about rules and members.
 
     Parameters
@@ -35,7 +35,7 @@
 
     clock : Clock
         Source of the current time.
-    guard : Guard
+    guard : CallGate
         This node's guard.
     rules : RevisionState
         The rules in force.
@@ -48,7 +48,7 @@
     def __init__(
         self,
         clock: Clock,
-        guard: Guard,
+        guard: CallGate,
         rules: RevisionState,
         burn: BurnMeter,
         counters: Counters,
@@ -60,7 +60,7 @@
 
     def on_call(self, link: PeerLink, call: Call) -> None:
         """Run a call and reply on the link."""
-        ledger = self.ledger_for(link, call.number)
+        ledger = self.register_request(link, call.number)
         if not 0 <= call.importance < RANK_LIMIT or not 0 <= call.rank < RANK_LIMIT:
             raise FrameError("importance or rank out of range")
         task = asyncio.ensure_future(self._run(link, call, ledger))
@@ -78,7 +78,7 @@
         if isinstance(fence, FenceKey):
             verdicts = [self._guard.fence_key(fence.key)]
         else:
-            verdicts = self.fence(fence)
+            verdicts = self.fence_connection(fence)
         link.send(FenceReply(fence.number, [int(verdict) for verdict in verdicts]))
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
@@ -95,11 +95,11 @@
         for task in list(link.calls.values()):
             task.cancel()
 
-    async def _run(self, link: PeerLink, call: Call, ledger: ConnectionLedger) -> None:
+    async def _run(self, link: PeerLink, call: Call, ledger: ConnectionCallLog) -> None:
         def may_hand_over() -> bool:
             return ledger.hand_over(call.number)
 
-        request = GuardRequest(
+        request = GateRequest(
             call.boot,
             call.operation,
             call.method,
@@ -110,7 +110,7 @@
             call.caller,
             Importance(call.importance),
             call.rank,
-            self._clock.now() + call.time_left / 1000,
+            self._clock.now() + call.time_left_ms / 1000,
             call.attempts,
             call.key,
             call.idempotent,
@@ -137,6 +137,6 @@
             result.unused_attempts,
             result.retry_elsewhere,
             int(result.retry_after * 1000),
-            self._guard.cut(call.operation),
+            self._guard.threshold(call.operation),
             self._guard.ledger.epoch,
         )
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterable
 
-from rattanfork_core.account import RepeatGrants
 from rattanfork_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -10,6 +9,7 @@
     Start,
     Waiter,
 )
+from rattanfork_core.budgets import GateRetryBudget
 from rattanfork_core.clock import Clock
 from rattanfork_core.gate_status import (
     OperationDependencies,
@@ -95,7 +95,7 @@
         Counts refusals by reason.
     decision_log : DecisionLog
         Records the result of each request.
-    grants : RepeatGrants
+    grants : GateRetryBudget
         Retry budget of this gate.
     quarantine : Quarantine
         Fingerprints of requests that no upstream may run.
@@ -108,7 +108,7 @@
         names: HeaderNames,
         counters: Counters,
         decision_log: DecisionLog,
-        grants: RepeatGrants,
+        grants: GateRetryBudget,
         quarantine: Quarantine,
     ) -> None:
         self._clock = clock
@@ -293,7 +293,7 @@
             job.granted = self.grants.grant(job.rank)
             return job.granted
         if job.repeated:
-            self.grants.count_repeat()
+            self.grants.count_retry()
         elif job.attempt == 1:
             # Another gate has shed the first of later attempts, and counted it.
             self.grants.count_request()
@@ -436,7 +436,7 @@
     def _refuse(self, job: Job, reason: Reason) -> None:
         self._counters.events[f"gate.{reason.label}"] += 1
         if job.granted:
-            self.grants.take_back()
+            self.grants.refund()
         self._finish(job, not_run(reason))
 
     def _finish(self, job: Job, result: CallResult) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -87,7 +87,7 @@
 
 
 def objective_counts(harness: RelayHarness) -> dict[str, tuple[int, int]]:
-    harness.objectives.roll()
+    harness.objectives.flush()
     return {route: windows[0] for route, windows in harness.objectives.totals()}
 
 
