--- a/bench/client_accounts.py
+++ b/bench/client_accounts.py
@@ -32,7 +32,7 @@
         seconds.append(perf_counter() - began)
     tracemalloc.start()
     index = AccountIndex(accounts)
-    index_bytes, _ = tracemalloc.get_traced_memory()
+    memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     key = next(iter(accounts.values()))[0].encode()
     began = perf_counter()
@@ -40,7 +40,7 @@
         index.find(key)
     each = (perf_counter() - began) / LOOKUPS
     print(
-        f"{index.key_count} keys: {median(seconds) * 1e3:.0f} ms, {index_bytes / 1e6:.0f} MB"
+        f"{index.key_count} keys: {median(seconds) * 1e3:.0f} ms, {memory / 1e6:.0f} MB"
     )
     print(f"one lookup: {each * 1e6:.2f} us")
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -198,20 +198,20 @@
 
 
 def keys() -> list[dict]:
-    """Measure a run ledger with several numbers of idempotency keys."""
+    """Measure a key registry with several numbers of idempotency keys."""
     rows = []
     for size in (1000, 10_000, 50_000):
         clock = ManualClock()
 
         def make(size=size, clock=clock) -> KeyRegistry:
-            ledger = KeyRegistry(clock, "g", "b", epoch_keys=1_000_000)
+            registry = KeyRegistry(clock, "g", "b", epoch_keys=1_000_000)
             for i in range(size):
                 ticket = Ticket("claims", "g", "b", 1, i)
                 key = f"lqZjbGFpbXMaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa{i:08d}"
-                verdict = ledger.on_request(key, ticket, "clerk", i)
-                ledger.hand_over(verdict.record)
-                ledger.store_answer(verdict.record, CallResult(Outcome.ANSWERED))
-            return ledger
+                verdict = registry.on_request(key, ticket, "clerk", i)
+                registry.hand_over(verdict.record)
+                registry.store_answer(verdict.record, CallResult(Outcome.ANSWERED))
+            return registry
 
         began = process_time()
         make()
