--- a/packages/rattanfork-node/rattanfork_node/http1/render.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/render.py
@@ -1,4 +1,4 @@
-"""Messages as bytes."""
+"""Serializes HTTP/1.1 responses and request heads."""
 
 from http import HTTPStatus
 
@@ -6,24 +6,28 @@
     status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode()
     for status in HTTPStatus
 }
-_BODILESS = frozenset((204, 304))
+_STATUSES_WITHOUT_BODY = frozenset((204, 304))
 
 
-def render_answer(
+def render_response(
     status: int, block: bytes, body: bytes, close: bool, for_head: bool = False
 ) -> bytes:
-    r"""Return a whole response.
+    r"""Return a response, with its body unless it answers a HEAD request.
 
     Examples
     ========
 
-    >>> render_answer(200, b"A: b\r\n", b"hi", close=True)
+    >>> render_response(200, b"A: b\r\n", b"hi", close=True)
     b'HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi'
-    >>> render_answer(204, b"", b"", close=False)
+    >>> render_response(204, b"", b"", close=False)
     b'HTTP/1.1 204 No Content\r\n\r\n'
     """
     line = _STATUS_LINES.get(status) or b"HTTP/1.1 %d Status\r\n" % status
-    length = b"" if status in _BODILESS else b"Content-Length: %d\r\n" % len(body)
+    length = (
+        b""
+        if status in _STATUSES_WITHOUT_BODY
+        else b"Content-Length: %d\r\n" % len(body)
+    )
     ending = b"Connection: close\r\n\r\n" if close else b"\r\n"
     return b"".join((line, block, length, ending, b"" if for_head else body))
 
@@ -31,7 +35,7 @@
 def render_head(
     method: bytes, target: bytes, block: bytes, body_length: int, extra: bytes
 ) -> bytes:
-    r"""Return the head of a request.
+    r"""Return request line and headers, with Content-Length as the method needs it.
 
     Examples
     ========
