--- a/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/gate_retry_budget.py
@@ -92,6 +92,6 @@
         """Return a granted retry that was not passed to the upstream."""
         self._budget.refund()
 
-    def on_attempt(self, lost: bool) -> None:
+    def on_attempt(self, failed: bool) -> None:
         """Count an attempt, and whether it failed."""
-        self._budget.on_attempt(lost)
+        self._budget.on_attempt(failed)
--- a/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -144,10 +144,10 @@
         self._advance()
         self._retries[0] += 1
 
-    def on_attempt(self, lost: bool) -> None:
+    def on_attempt(self, failed: bool) -> None:
         """Count an attempt, and whether the service refused or failed it."""
         self._failure_rate += _FAILURE_WEIGHT * (
-            (1.0 if lost else 0.0) - self._failure_rate
+            (1.0 if failed else 0.0) - self._failure_rate
         )
 
     def spend(self, rank: float) -> bool:
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
@@ -29,7 +29,7 @@
     random = Random(3)
     by_second = []
     for _ in range(100):
-        budget.on_attempt(lost=True)
+        budget.on_attempt(failed=True)
         by_second.append(sum(budget.spend(2 + random.random()) for _ in range(3)))
         clock.advance(0.1)
     assert 150 <= sum(by_second) <= 200
@@ -52,7 +52,7 @@
     for tick in range(800):
         clock.advance(0.01)
         budget.count_request()
-        budget.on_attempt(lost=tick % 2 == 0)
+        budget.on_attempt(failed=tick % 2 == 0)
         if tick % 10 in (0, 3, 6):
             granted[0] += budget.spend(random.random())
         if tick % 10 != 9:
@@ -72,7 +72,7 @@
     random = Random(3)
     all_granted = some_granted = 0
     for run in range(400):
-        budget.on_attempt(lost=run % 2 == 0)
+        budget.on_attempt(failed=run % 2 == 0)
         rank = 2 + random.random()
         granted = []
         for _ in range(4):
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -187,13 +187,13 @@
 
     def complete(self, key: int, done: Callable) -> None:
         """Complete a run."""
-        self.retry_grants.on_attempt(lost=False)
+        self.retry_grants.on_attempt(failed=False)
         self.apply(self.admission.finish(key))
         self.simulation.after(NETWORK_LATENCY, lambda: done("ran", self))
 
     def refuse(self, key: int, done: Callable) -> None:
         """End a run that the upstream refused."""
-        self.retry_grants.on_attempt(lost=True)
+        self.retry_grants.on_attempt(failed=True)
         self.apply(self.admission.finish(key, succeeded=False))
         self.simulation.after(NETWORK_LATENCY, lambda: done("refused", self))
 
@@ -413,7 +413,7 @@
             else:
                 self.fail(request)
             return
-        request.middle.budget.on_attempt(lost=False)
+        request.middle.budget.on_attempt(failed=False)
         request.leaf_runs += 1
         if self.counting:
             self.outcomes[request.kind.name].runs += 1
@@ -437,7 +437,7 @@
             call.denials += 1
             return call.denials < MAX_DENIALS
         call.refusals += 1
-        middle.budget.on_attempt(lost=True)
+        middle.budget.on_attempt(failed=True)
         if call.refusals > MAX_REFUSALS:
             return False
         return self.gates_grant_retries or middle.budget.spend(rank)
--- a/packages/rattanfork-core/rattanfork_core/request/attempt.py
+++ b/packages/rattanfork-core/rattanfork_core/request/attempt.py
@@ -28,7 +28,7 @@
         Its number among the attempts of the request, from 1.
     instance : str
         Instance that it is sent to.
-    lent_attempts : int
+    delegated_attempts : int
         Extra attempts that the instance may spend on calls of its own.
     state : AttemptState
         What the sender knows of the attempt.
@@ -36,5 +36,5 @@
 
     number: int
     instance: str
-    lent_attempts: int
+    delegated_attempts: int
     state: AttemptState = AttemptState.SENT
--- a/packages/rattanfork-core/rattanfork_core/request/commands.py
+++ b/packages/rattanfork-core/rattanfork_core/request/commands.py
@@ -11,7 +11,7 @@
 
     attempt: int
     instance: str
-    lent_attempts: int
+    delegated_attempts: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/rattanfork-core/rattanfork_core/request/result.py
+++ b/packages/rattanfork-core/rattanfork_core/request/result.py
@@ -43,7 +43,7 @@
         Whether a retry at another instance may succeed.
     retry_after : float
         Seconds after which the caller should retry; 0 if not known.
-    reach : tuple of str
+    services_reached : tuple of str
         Services that the operation calls, directly or indirectly, as observed by the
         guard.
     """
@@ -57,4 +57,4 @@
     retry_elsewhere: bool = False
     retry_after: float = 0.0
     block: bytes = b""
-    reach: tuple[str, ...] = ()
+    services_reached: tuple[str, ...] = ()
--- a/packages/rattanfork-core/rattanfork_core/request/state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -41,7 +41,7 @@
     Parameters
     ==========
 
-    account : RequestBudget
+    budget : RequestBudget
         Deadline and extra attempts of the request.
     idempotent : bool
         Whether the request may be run more than once.
@@ -55,7 +55,7 @@
         one.  Called last, when all other conditions for a retry hold.
     free_retries : int
         Retries, after an upstream has refused an attempt without running it, that
-        are not charged to the account.  The account bounds how often a request may
+        are not charged to the budget.  The budget bounds how often a request may
         run, ``may_retry`` how often it is sent.
 
     Examples
@@ -63,10 +63,10 @@
 
     >>> from rattanfork_core.clock import ManualClock
     >>> clock = ManualClock()
-    >>> account = RequestBudget(clock, deadline=1.0, attempts=1)
-    >>> machine = RequestStateMachine(account, True, lambda avoid: "w1")
+    >>> budget = RequestBudget(clock, deadline=1.0, attempts=1)
+    >>> machine = RequestStateMachine(budget, True, lambda avoid: "w1")
     >>> machine.start()
-    [SendCall(attempt=1, instance='w1', lent_attempts=1)]
+    [SendCall(attempt=1, instance='w1', delegated_attempts=1)]
     >>> [finish] = machine.on_result(1, CallResult(Outcome.ANSWERED, status=200))
     >>> finish.result.status
     200
@@ -79,14 +79,14 @@
 
     def __init__(
         self,
-        account: RequestBudget,
+        budget: RequestBudget,
         idempotent: bool,
         pick: InstancePicker,
         pinned: str | None = None,
         may_retry: Callable[[], bool] = lambda: True,
         free_retries: int = 0,
     ) -> None:
-        self._account = account
+        self._budget = budget
         self._idempotent = idempotent
         self._pick = pick
         self._pinned = pinned
@@ -120,7 +120,7 @@
             # Too late: the attempt was fenced, or the request is finished.  Its
             # unused extra attempts were written off and are not credited again.
             return []
-        self._account.reclaim(attempt.lent_attempts, result.unused_attempts)
+        self._budget.reclaim(attempt.delegated_attempts, result.unused_attempts)
         if result.outcome is Outcome.ANSWERED:
             attempt.state = AttemptState.ANSWERED
             return self._finish(result)
@@ -189,9 +189,9 @@
         return result
 
     def _can_retry(self, attempt: Attempt) -> bool:
-        if self._pinned is not None or self._account.expired:
+        if self._pinned is not None or self._budget.expired:
             return False
-        if self._account.attempts < 1 and not self._is_free_retry(attempt):
+        if self._budget.attempts < 1 and not self._is_free_retry(attempt):
             return False
         may_run_again = self._idempotent or attempt.state is AttemptState.NOT_RUN
         if not may_run_again or self._next_instance(attempt) is None:
@@ -218,7 +218,7 @@
         if self._is_free_retry(attempt):
             self._free_retries -= 1
         else:
-            self._account.spend()
+            self._budget.spend()
         if self._pick(self._avoided | {attempt.instance}) is not None:
             self._avoided = self._avoided | {attempt.instance}
         else:
@@ -231,10 +231,10 @@
         instance = self._pinned or self._pick(self._avoided)
         if instance is None:
             return self._finish(self._with_proved_outcome(if_none))
-        lent = self._account.delegate()
-        attempt = Attempt(len(self._attempts) + 1, instance, lent)
+        delegated = self._budget.delegate()
+        attempt = Attempt(len(self._attempts) + 1, instance, delegated)
         self._attempts.append(attempt)
-        return [SendCall(attempt.number, instance, lent)]
+        return [SendCall(attempt.number, instance, delegated)]
 
     def _finish(self, result: CallResult) -> list[Command]:
         self._finished = True
@@ -248,7 +248,7 @@
         # collection: 24 MB of finished requests at 5000 requests a second.
         self._pick = _no_instance
         self._may_retry = _may_not_retry
-        result.unused_attempts = self._account.attempts
+        result.unused_attempts = self._budget.attempts
         return [Finish(result)]
 
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -224,7 +224,7 @@
                 job.importance,
                 job.rank,
                 job.account.deadline,
-                command.lent_attempts,
+                command.delegated_attempts,
                 job.key,
                 job.idempotent,
                 _never_fenced,
@@ -252,7 +252,7 @@
             int(job.importance),
             job.rank,
             int(job.account.time_left * 1000),
-            command.lent_attempts,
+            command.delegated_attempts,
             job.key,
             job.idempotent,
         )
@@ -304,7 +304,7 @@
     return CallResult(
         Outcome.NOT_RUN,
         Reason.STALE_INSTANCE,
-        unused_attempts=command.lent_attempts,
+        unused_attempts=command.delegated_attempts,
         retry_elsewhere=True,
     )
 
--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -119,8 +119,8 @@
     """Result of a run, with the state of the gate.
 
     ``cut`` is the rank from which the gate sheds, ``busy`` its number of queued
-    and running requests; ``reach`` names the services that runs of the operation
-    call, at any depth.
+    and running requests; ``services_reached`` names the services that runs of the
+    operation call, at any depth.
     """
 
     number: int
@@ -132,7 +132,7 @@
     retry_elsewhere: bool
     cut: float
     busy: int
-    reach: list
+    services_reached: list
 
 
 class ConfigurationRequest(NamedTuple):
@@ -369,8 +369,10 @@
                 raise FrameError("a header must be a pair of strings")
             if len(pair[0]) + len(pair[1]) > _MAX_TEXT_LENGTH:
                 raise FrameError("header is too long")
-    if type(message) is RunReply and any(type(s) is not str for s in message.reach):
-        raise FrameError("RunReply.reach: names of services must be strings")
+    if type(message) is RunReply and any(
+        type(s) is not str for s in message.services_reached
+    ):
+        raise FrameError("RunReply.services_reached: names of services must be strings")
     if type(message) is Call and len(message.path) > _MAX_TEXT_LENGTH:
         raise FrameError("path is too long")
 
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -322,7 +322,7 @@
             body=reply.body,
             retry_elsewhere=reply.retry_elsewhere,
             block=reply.block,
-            reach=tuple(reply.reach),
+            services_reached=tuple(reply.services_reached),
         )
         self._on_result(attempt, result)
 
@@ -347,10 +347,12 @@
     def _record_dependencies(self, result: CallResult) -> None:
         admitted = self._admitted
         if self._parent is None:
-            self._relay.dependencies.record_run(admitted.operation, result.reach)
+            self._relay.dependencies.record_run(
+                admitted.operation, result.services_reached
+            )
         else:
             self._parent.services_reached.add(admitted.service)
-            self._parent.services_reached.update(result.reach)
+            self._parent.services_reached.update(result.services_reached)
 
     def _update_instance_state(self, failed: bool, counted: bool = True) -> None:
         state, self._instance_state = self._instance_state, None
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -431,7 +431,7 @@
             self._tracker.on_success(fingerprint)
             self._quarantine.on_success(fingerprint)
             self.dependencies.record_run(job.operation, job.services_reached)
-        result.reach = self.dependencies.services(job.operation)
+        result.services_reached = self.dependencies.services(job.operation)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
         self._counters.events[f"gate.{reason.label}"] += 1
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -143,7 +143,7 @@
                     result.retry_elsewhere,
                     float(self._gate.threshold(operation)),
                     self._gate.outstanding,
-                    list(result.reach),
+                    list(result.services_reached),
                 )
             )
 
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -184,7 +184,7 @@
             "retry_elsewhere": False,
             "cut": 5.0,
             "busy": 1,
-            "reach": [],
+            "services_reached": [],
             **more,
         }
         done(RunReply(run.number, outcome, reason, status, b"", b"body", **fields))
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -156,7 +156,7 @@
     """
     harness = RelayHarness(peers=1)
     harness.send_request()
-    harness.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
+    harness.links[0].reply(0, ANSWERED, status=200, services_reached=["deep"])
     harness.reports.update_own("deep", 1.5, impaired=False)
     exchange = harness.send_request(request_id="r2")
     assert exchange.output[0] == 503
@@ -183,9 +183,9 @@
     harness = RelayHarness(peers=1)
     run, results = harness.gate_harness.submit("run")
     harness.send_request("/i/x", request_id="run.0123456789abcdef")
-    harness.links[0].reply(0, ANSWERED, status=200, reach=["deep"])
+    harness.links[0].reply(0, ANSWERED, status=200, services_reached=["deep"])
     harness.gate_harness.answer(0)
-    assert results[0].reach == ("deep", "t")
+    assert results[0].services_reached == ("deep", "t")
 
 
 @on_loop
@@ -195,7 +195,7 @@
     harness.send_request("/i/x", request_id="run.0123456789abcdef")
     harness.links[0].reply(0, ANSWERED, status=200)
     harness.gate_harness.answer(0, status=500)
-    assert results[0].reach == ()
+    assert results[0].services_reached == ()
 
 
 @on_loop
