--- a/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/connection_call_log.py
@@ -14,9 +14,10 @@
 
     Calls without a key are identified by their connection and their sequence
     number on it, which only increases, so duplicates are detected and do not run
-    a second time.  When the sender loses the connection, it asks over another one
-    to fence the old: from then on no call that still arrives on it is handed over.
-    A call reported as "not run" therefore cannot run later out of a buffer.
+    a second time.  When the sender loses the connection, it requests over another one
+    that the lost one be fenced: from then on no call that still arrives on the lost
+    connection is handed over.  So a call reported as "not run" cannot run later,
+    although it may still be in a receive buffer.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/key_registry.py
@@ -20,16 +20,18 @@
 
 
 class KeyRegistry:
-    """Decides which keys run at an instance, for one incarnation of its node.
+    """Decides whether a request with a key runs, for one incarnation of a node.
 
     Explanation
     ===========
 
-    A key names the incarnation of the node that may run it, so this depends on the
-    key alone: not on membership views, leases, the platform's table or clocks of
-    other machines.  Within that incarnation this registry is the only authority.
-    It hands a key over at most once because it marks the key before the request
-    is sent, and because it never evicts a key that it would still accept:
+    An incarnation is one run of the node process, identified by its ``boot`` (and is
+    not the incarnation number of SWIM).  A key names the only instance and incarnation
+    that may run it, so where it may run does not depend on membership views, leases,
+    the platform's table or clocks of other machines.  Within that incarnation this
+    registry is the only authority.  It hands a key over at most once because it marks
+    the key before the request is sent, and because it never evicts a key that it would
+    still accept:
 
     - Keys are grouped in epochs, numbered by the node itself.  A key carries the
       epoch in which it was issued, and is accepted only while that epoch is kept.
@@ -69,7 +71,7 @@
     See Also
     ========
 
-    rattanfork_core.request.RequestStateMachine : asks for fences.
+    rattanfork_core.request.RequestStateMachine : sends the requests for fences.
     """
 
     def __init__(
@@ -163,7 +165,7 @@
         """
         if record.state is RunState.WAITING:
             # A delayed duplicate of the request may still arrive.  If the key
-            # were not fenced, it would run after its caller was told "not run".
+            # were not fenced, it would run after its caller received "not run".
             record.state = RunState.FENCED
         return record.state is RunState.FENCED
 
@@ -183,7 +185,7 @@
             self._drop_answer(oldest)
 
     def on_connection_lost(self, record: RunRecord) -> None:
-        """Record that the connection to the upstream was lost during the run."""
+        """Record that the connection to the upstream was lost before its response."""
         if record.state is RunState.HANDED_OVER:
             record.state = RunState.LOST
 
--- a/packages/rattanfork-core/rattanfork_core/idempotency/record.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/record.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class RunRecord:
-    """A key with its caller, the hash of its request, and the stored response."""
+    """A key with its caller, its request's hash, and the stored response."""
 
     key: str
     caller: str
--- a/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/tests/test_key_registry.py
@@ -24,7 +24,7 @@
 class AtMostOnce(RuleBasedStateMachine):
     """Restarting nodes, and duplicates of requests that arrive at any time.
 
-    Guards against writes that run twice, or run after their caller was told
+    Guards against writes that run twice, or run after their caller received
     "not run".  Causes are duplicates delayed at paused nodes, fences by other
     nodes, lost responses, and nodes that lose their state in a restart.
     """
--- a/packages/rattanfork-core/rattanfork_core/idempotency/ticket.py
+++ b/packages/rattanfork-core/rattanfork_core/idempotency/ticket.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that are valid at one incarnation of one instance."""
+"""Idempotency keys that are valid at one incarnation of an instance's node."""
 
 import hmac
 from base64 import urlsafe_b64decode, urlsafe_b64encode
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """An idempotency key bound to one incarnation of one instance.
+    """An idempotency key bound to one incarnation of an instance's node.
 
     Parameters
     ==========
@@ -29,8 +29,8 @@
     instance : str
         The only instance that may run the key.
     boot : str
-        The incarnation of the instance's node.  A restarted node no longer knows
-        which keys ran, so it must not run keys of an earlier incarnation.
+        The incarnation (process) of the instance's node.  A restarted node no longer
+        knows which keys ran, so it must not run keys of an earlier incarnation.
     epoch : int
         The epoch of the instance's key registry when the key was issued.
     nonce : int
