--- a/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/cached_versions.py
@@ -14,7 +14,7 @@
 
     Rules and configuration are kept in the store and cached by each node.  Nodes
     send this on every probe and ack: a node that learns of a newer version fetches
-    it from a peer, and one that learns of a recent confirmation need not ask the
+    it from a peer, and one that learns of a recent confirmation need not poll the
     store itself.
 
     Parameters
@@ -25,9 +25,9 @@
     rules : int
         :attr:`RulesRecord.order` of the rules in force; 0 while there are none.
     confirmation_age_ms : int
-        Milliseconds since the store is known to have held nothing newer;
-        :data:`UNKNOWN_AGE_MS` if that is not known, or if the node knows of
-        something newer.
+        Milliseconds since the store was last known to hold nothing newer;
+        :data:`UNKNOWN_AGE_MS` if that is unknown, or if another node has announced
+        a newer version.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/direct_messages.py
@@ -8,18 +8,18 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks for the version of the receiver's configuration and the age of its proof.
+    """Request for the receiver's configuration version and confirmation age.
 
-    The proof is that of :class:`~rattanfork_core.revision.ConfigurationLease`.
+    See :class:`~rattanfork_core.revision.ConfigurationLease`.
     """
 
     number: int
 
 
 class LeaseReply(NamedTuple):
-    """Version of the configuration in force, and the age of its proof.
+    """Version of the configuration in force, and the age of its confirmation.
 
-    ``age`` is in milliseconds; :data:`UNKNOWN_AGE_MS` if there never was a proof.
+    ``age`` is in milliseconds; :data:`UNKNOWN_AGE_MS` if it was never confirmed.
     """
 
     number: int
@@ -28,9 +28,9 @@
 
 
 class QuotaRequest(NamedTuple):
-    """Asks for ``count`` tokens of a client account's quota.
+    """Request for ``count`` tokens of a client account's quota.
 
-    ``sender`` is the name of the member that asks.
+    ``sender`` is the name of the requesting member.
     """
 
     number: int
@@ -40,7 +40,7 @@
 
 
 class QuotaReply(NamedTuple):
-    """Number of tokens issued, and milliseconds to wait before asking again."""
+    """Number of tokens issued, and milliseconds to wait before the next request."""
 
     number: int
     tokens: int
--- a/packages/rattanfork-core/rattanfork_core/membership/member.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/member.py
@@ -21,8 +21,8 @@
 
     A restarted node has a new ``boot`` and is another member.  So nothing has to
     be kept across restarts, and updates about the earlier process do not affect
-    the new one.  Only the member itself raises its ``incarnation``, to refute a
-    suspicion or to change its record.
+    the new one.  Only the member itself raises its ``incarnation`` (the incarnation
+    number of SWIM), to refute a suspicion or to change its record.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/membership/membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/membership.py
@@ -23,8 +23,8 @@
 #: Fraction of protocol periods in which a dead member is probed as well.
 _DEAD_PROBE_FRACTION = 0.1
 #: Factor of the push fan-out for joining and leaving: a node that learns late of a
-#: leaving member still sends requests to it, and a joining node that is killed before
-#: others know its address cannot be found by them when it restarts.
+#: leaving member still forwards requests to it, and a joining node that is killed
+#: before others know its address cannot be found by them when it restarts.
 _JOIN_LEAVE_FANOUT_FACTOR = 4
 
 
@@ -43,7 +43,7 @@
     ===========
 
     In each protocol period one member is probed.  If it does not reply in time, a
-    few others are asked to probe it.  If none of them gets an ack either, it is
+    few others probe it indirectly.  If none of them gets an ack either, it is
     suspected, and declared dead after a time-out unless it refutes the suspicion
     by raising its incarnation.  Updates are piggybacked on probes and acks, a
     bounded number on each, so the cost of a node does not depend on the size of
@@ -186,7 +186,7 @@
         ]
 
     def mark_dead(self, name: str) -> None:
-        """Declare a member dead, since another process answers at its address."""
+        """Declare a member dead, since another process has its address."""
         if name != self._me.name:
             self._declare(name, MemberStatus.DEAD)
 
@@ -233,7 +233,8 @@
             self._next_push = now + self._settings.push_interval
             sends += self._push(self._settings.push_fanout)
         if now >= self._next_expiry:
-            # Not on each tick: while a region is cut off, thousands are suspect.
+            # Not on each tick: while a data centre is partitioned off, thousands of
+            # members are suspect.
             self._next_expiry = now + self._settings.period
             self._expire(now)
         return sends
@@ -272,8 +273,7 @@
                 self._probe = None
                 self._local_health = max(0, self._local_health - 1)
             else:
-                # Another process answers at that address, so the one that was
-                # probed has ended.
+                # Another process has that address, so the probed one has ended.
                 self._declare(probe.target, MemberStatus.DEAD)
                 self._probe = None
         relayed = self._relayed.pop(ack.number, None)
@@ -288,7 +288,7 @@
         if target is None:
             return []
         ping = self._ping(target)
-        # Entries whose ack was lost are not removed otherwise.
+        # Entries whose ack was lost are removed only here.
         if len(self._relayed) > 100:
             self._relayed.clear()
         self._relayed[ping.message.number] = (request.number, request.sender.address)
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -18,7 +18,7 @@
 
 #: Bytes of the truncated HMAC-SHA256 at the head of a datagram.
 _MAC_BYTES = 12
-#: Below the usual MTU of 1,500 bytes, so that datagrams are not fragmented.
+#: Below the Ethernet MTU of 1,500 bytes, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
 #: Updates that are read from one datagram; further ones are ignored.
 _MAX_UPDATES_READ = 16
--- a/packages/rattanfork-core/rattanfork_core/membership/random_pool.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/random_pool.py
@@ -10,8 +10,8 @@
     ===========
 
     Each probe and push samples a few members.  Building a list of 17,000 members
-    to draw two of them takes a millisecond, many times a second.  Names are kept in
-    a list, and a removed name is replaced by the last one.
+    to draw two of them would take a millisecond, many times a second.  Names are
+    kept in a list, and a removed name is replaced by the last one.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/membership/settings.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/settings.py
@@ -13,9 +13,9 @@
     period : float
         Seconds between two probes (the protocol period of SWIM).
     ack_timeout : float
-        Seconds without an ack after which other members are asked to probe.
+        Seconds without an ack after which the member is probed indirectly.
     indirect_probes : int
-        Number of members that are asked.
+        Number of members that relay an indirect probe.
     suspicion_multiplier : float
         Protocol periods that a suspect has to refute, as a multiple of the
         binary logarithm of the fleet size.
--- a/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/sync_schedule.py
@@ -23,7 +23,7 @@
 
 
 class SyncSchedule:
-    """Schedules exchanges of whole views, and chooses the address to ask.
+    """Schedules exchanges of whole views, and chooses the node to exchange with.
 
     Explanation
     ===========
@@ -31,9 +31,9 @@
     A seed is missing while no known member has its address.  A missing seed is
     tried again soon, with pauses that double.  This matters if all nodes start
     together and a seed is the last to listen: the others have found each other,
-    and the seed, which has no seed of its own, knows no other node and waits to be
-    asked.  If missing seeds were asked no more often than members, it would stay
-    alone for minutes, and its upstream would get no requests.
+    and the seed, which has no seed of its own, knows no other node and can only be
+    contacted by one.  If missing seeds were contacted no more often than members, it
+    would stay isolated for minutes, and its upstream would get no requests.
 
     Parameters
     ==========
@@ -80,7 +80,7 @@
         return not self._in_progress and self._clock.now() >= self._next
 
     def begin(self, me: Member, present: Iterable[Member]) -> Address | None:
-        """Record that an exchange starts; return the address to ask, if any.
+        """Record that an exchange starts; return the address of its peer, if any.
 
         ``present`` are the members that are not dead.
         """
@@ -93,7 +93,7 @@
         if others and self._random.random() < _MEMBER_FRACTION:
             return self._random.choice(others)
         seeds = [seed for seed in self._seeds if seed != own]
-        # Seeds are also asked if none is missing: two groups of nodes that have
+        # Seeds are also contacted if none is missing: two groups of nodes that have
         # dropped each other's records can find each other in no other way.
         return self._random.choice(seeds) if seeds else None
 
@@ -109,8 +109,8 @@
         self._next = self._clock.now() + pause * self._random.uniform(*_JITTER)
 
     def _prefers_missing_seed(self) -> bool:
-        probably_gone = self._seed_pause >= _INTERVAL_S
-        return not probably_gone or self._random.random() < _MISSING_SEED_FRACTION
+        probably_removed = self._seed_pause >= _INTERVAL_S
+        return not probably_removed or self._random.random() < _MISSING_SEED_FRACTION
 
     def _missing_seeds(self, own: Address, others: list[Address]) -> list[Address]:
         known = {own, *others}
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_membership.py
@@ -123,7 +123,7 @@
     assert per_node_second < 4
 
 
-def test_datagram_with_many_updates_stays_below_the_usual_mtu():
+def test_datagram_with_many_updates_stays_below_the_ethernet_mtu():
     fleet = Fleet(3)
     view = fleet.views[0]
     view.merge(fleet.make_view(i, "f" * 12).me for i in range(50, 100))
@@ -185,7 +185,7 @@
 
 
 def test_restarted_node_of_two_is_found_without_the_store():
-    """Guards against a restarted node that stays alone and gets no requests.
+    """Guards against a restarted node that stays isolated and gets no requests.
 
     It was declared dead, and without the store it knows no address when it restarts.
     The other has no live member left, so it has to probe the dead one's address.
--- a/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/tests/test_sync_schedule.py
@@ -27,10 +27,11 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_seed_that_was_down_is_asked_again_within_a_second(seed):
+def test_seed_that_was_down_is_contacted_again_within_a_second(seed):
     # Three nodes start together.  Two find each other before the seed listens; the
-    # seed has no seed itself and waits to be asked.  With an exchange every ten
-    # seconds, one in ten of them with a seed, it would be alone for minutes.
+    # seed has no seed itself, so only another node can contact it.  With an exchange
+    # every ten seconds, one in ten of them with a seed, it would be isolated for
+    # minutes.
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(seed), [SEED])
     tries = [
@@ -58,7 +59,7 @@
     assert len(exchanges) < 70
 
 
-def test_node_that_knows_no_other_asks_several_times_a_second():
+def test_node_that_knows_no_other_contacts_its_seed_several_times_a_second():
     clock = ManualClock(100.0)
     schedule = SyncSchedule(clock, Random(1), [SEED])
     assert len(exchanges_of(schedule, clock, [member(1)], 3)) > 6
