--- a/packages/rattanfork-core/rattanfork_core/burn/meter.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/meter.py
@@ -6,6 +6,7 @@
 from rattanfork_core.objectives import WINDOWS, WindowedCount
 from rattanfork_core.request.importance import Importance
 
+#: Maximum combinations of service, importance and rule; others are not counted.
 _MAX_SERIES = 2000
 
 
--- a/packages/rattanfork-core/rattanfork_core/client_accounts/validation.py
+++ b/packages/rattanfork-core/rattanfork_core/client_accounts/validation.py
@@ -57,9 +57,15 @@
     findings = []
     name = account.name
     if not name or len(name) > _MAX_NAME_LENGTH or not name.isascii():
-        findings.append(f"{name[:_MAX_NAME_LENGTH]!r}: invalid account name")
+        findings.append(
+            f"{name[:_MAX_NAME_LENGTH]!r}: "
+            "1 to 200 printable ASCII characters without outer spaces expected"
+        )
     elif not name.isprintable() or name != name.strip():
-        findings.append(f"{name!r}: invalid account name")
+        findings.append(
+            f"{name!r}: "
+            "1 to 200 printable ASCII characters without outer spaces expected"
+        )
     for field, value in (("rate", account.rate), ("burst", account.burst)):
         if not isfinite(value) or value < 0:
             findings.append(f"{name}.{field}: must be finite and at least 0")
@@ -70,7 +76,7 @@
     if not key:
         return "empty"
     if len(key) > _MAX_KEY_LENGTH:
-        return "too long"
+        return "at most 1024 characters expected"
     if not key.isascii() or not key.isprintable() or key != key.strip():
-        return "not printable ASCII"
+        return "printable ASCII characters without outer spaces expected"
     return ""
--- a/packages/rattanfork-core/rattanfork_core/rules/condition.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/condition.py
@@ -94,7 +94,7 @@
         )
 
     def mismatches(self, facts: RequestFacts) -> Iterator[str]:
-        """Yield a reason for each criterion that a request does not meet."""
+        """Yield a text for each criterion that a request does not meet."""
         if not self.service.matches(facts.service):
             yield f"service is {facts.service!r}"
         if not self.operation.matches(facts.operation):
--- a/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/ruleset.py
@@ -4,7 +4,7 @@
 from rattanfork_core.rules.facts import RequestFacts
 from rattanfork_core.rules.rule import Rule
 
-#: Maximum entries of each index; its keys come from URLs and are unbounded.
+#: Maximum entries of each index; the keys come from requests and are unbounded.
 _MAX_INDEX_ENTRIES = 4096
 #: Number of candidate rules up to which the second index is not used.
 _MAX_LINEAR_RULES = 4
@@ -16,9 +16,9 @@
     Explanation
     ===========
 
-    For each pair of service and operation, the rules that can match are cached, so
-    that a request is compared with few rules.  If many remain, a second cache uses
-    all properties of the request except load and attempt.
+    An index holds the candidate rules of each pair of service and operation, so that
+    a request is compared with few rules.  If there are many candidates, a second index
+    narrows them by all properties of the request except load and attempt.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
@@ -86,7 +86,7 @@
     node: yaml.Node, source: str, findings: list[Finding], depth: int
 ) -> Any:
     if depth > _MAX_DEPTH:
-        # A recursive alias nests without end and would overflow the stack.
+        # A recursive alias would overflow the stack.
         raise FindingsError([_finding(node, source, "document exceeds maximum depth")])
     if isinstance(node, yaml.MappingNode):
         return _construct_mapping(node, source, findings, depth)
--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -1,4 +1,4 @@
-"""Models of a node's settings file."""
+"""Models of a node's settings file; durations are in seconds."""
 
 from ipaddress import IPv4Address
 from typing import Annotated, Self
@@ -18,7 +18,9 @@
 class UpstreamSettings(_Strict):
     """The upstream instance that the node forwards requests to.
 
-    ``slots`` and ``connections`` apply until the upstream announces its own values.
+    ``slots`` is the number of requests that it runs at a time, and ``connections`` the
+    maximum number of connections to it; both apply until the upstream announces its
+    own values.
     """
 
     url: Url
@@ -48,7 +50,7 @@
 
 
 class LimitSettings(_Strict):
-    """Maximum body size in bytes, and maximum numbers of callers and requests."""
+    """Maximum body size in bytes, and maximum callers and concurrent requests."""
 
     body: int = Field(1 << 20, ge=1024, le=16 << 20)
     callers: int = Field(2000, ge=1, le=100_000)
@@ -58,8 +60,8 @@
 class RequestSettings(_Strict):
     """Defaults for values that neither the caller nor a rule sets.
 
-    ``silence`` is the time without traffic from a peer, in seconds, after which its
-    connection counts as lost.
+    ``attempts`` is the number of extra attempts for the whole call tree, ``silence``
+    the time without traffic from a peer after which its connection counts as lost.
     """
 
     deadline: float = Field(2.0, gt=0, le=600)
@@ -76,11 +78,11 @@
 
 
 class RulesSettings(_Strict):
-    """How a node learns the rules in force.
+    """How a node obtains the rules in force.
 
     ``data_centres_needed`` is the number of data centres whose peers make a node
-    ready if the platform's table does not answer; ``readers`` is the number of nodes
-    per data centre that read the table, every ``read_interval`` seconds.
+    ready if the table of rules is unavailable; ``readers`` is the number of nodes per
+    data centre that read the table, every ``read_interval`` seconds.
     """
 
     data_centres_needed: int = Field(2, ge=1, le=15)
