--- a/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/quarantine.py
@@ -14,10 +14,10 @@
 _BASE_DURATION_S = 60.0
 _DURATION_FACTOR = 5.0
 _MAX_DURATION_S = 24 * 3600.0
-#: A success clears a request of all crashes before it, and of those in the following
-#: seconds: a request that crashes upstreams does not succeed at others.
+#: A success clears a request of all crashes before it, and of those within these
+#: seconds after it: a request that crashes upstreams does not succeed at others.
 _SUCCESS_VALIDITY_S = 60.0
-#: Seconds for which a success is kept, to be compared with crash reports that are late.
+#: Seconds for which a success is kept, to be compared with late crash reports.
 _SUCCESS_RETENTION_S = 600.0
 #: Seconds for which a suspect of a single crash is kept.
 _SUSPECT_RETENTION_S = 3600.0
@@ -190,12 +190,12 @@
     def updates(self) -> list[CrashReport]:
         """Return one datagram of new crash reports, and count them as sent."""
         reports = []
-        room = _MAX_FINGERPRINTS_PER_DATAGRAM
+        capacity = _MAX_FINGERPRINTS_PER_DATAGRAM
         for incarnation, crash in self._crashes.items():
-            chosen = list(crash.pending)[: max(0, room - _REPORT_OVERHEAD)]
+            chosen = list(crash.pending)[: max(0, capacity - _REPORT_OVERHEAD)]
             if not chosen:
                 continue
-            room -= _REPORT_OVERHEAD + len(chosen)
+            capacity -= _REPORT_OVERHEAD + len(chosen)
             for fingerprint in chosen:
                 crash.pending[fingerprint] += 1
                 if crash.pending[fingerprint] >= _TRANSMISSIONS_PER_NODE:
@@ -227,14 +227,14 @@
         calls return them in turn.
         """
         reports = list(self.quarantined_reports())
-        room = _MAX_FINGERPRINTS_PER_DATAGRAM
+        capacity = _MAX_FINGERPRINTS_PER_DATAGRAM
         chosen: list[CrashReport] = []
         for offset in range(len(reports)):
             report = reports[(self._next_report_index + offset) % len(reports)]
             size = _REPORT_OVERHEAD + len(report.fingerprints)
-            if size > room and chosen:
+            if size > capacity and chosen:
                 break
-            room -= size
+            capacity -= size
             first_fingerprints = report.fingerprints[
                 : _MAX_FINGERPRINTS_PER_DATAGRAM - _REPORT_OVERHEAD
             ]
@@ -265,7 +265,7 @@
         if not new:
             return False
         if crash is None:
-            self._make_room(now)
+            self._evict(now)
             crash = self._crashes[incarnation] = _Crash(at)
         crash.fingerprints |= new
         for fingerprint in new:
@@ -309,7 +309,7 @@
             self._version += 1
             self._active_until = max(self._active_until, suspect.quarantined_until)
 
-    def _make_room(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         """Drop expired suspects, then those of single crashes, then the oldest ones."""
         for incarnation, crash in list(self._crashes.items()):
             for fingerprint in list(crash.fingerprints):
@@ -319,16 +319,16 @@
                     self._forget(incarnation, fingerprint)
         for singles_only in (True, False):
             for incarnation, crash in list(self._crashes.items()):
-                if self._has_room:
+                if self._below_limits:
                     return
                 for fingerprint in list(crash.fingerprints):
                     if fingerprint not in self._repeated or not singles_only:
                         self._forget(incarnation, fingerprint)
 
     @property
-    def _has_room(self) -> bool:
-        has_suspect_room = len(self._suspects) < _MAX_SUSPECTS
-        return has_suspect_room and len(self._crashes) < _MAX_CRASHES
+    def _below_limits(self) -> bool:
+        below_suspect_limit = len(self._suspects) < _MAX_SUSPECTS
+        return below_suspect_limit and len(self._crashes) < _MAX_CRASHES
 
     def _forget(self, incarnation: int, fingerprint: int) -> None:
         crash = self._crashes[incarnation]
--- a/packages/rattanfork-core/rattanfork_core/quarantine/record.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/record.py
@@ -30,10 +30,10 @@
     [CrashReport(incarnation=255, age=1100, fingerprints=(1,))]
     """
     crashes: list[list] = []
-    room = _MAX_FINGERPRINTS_PER_ROW
+    capacity = _MAX_FINGERPRINTS_PER_ROW
     for incarnation, age, fingerprints in reports:
-        chosen = fingerprints[:room]
-        room -= len(chosen)
+        chosen = fingerprints[:capacity]
+        capacity -= len(chosen)
         if chosen:
             hex_fingerprints = [f"{fingerprint:x}" for fingerprint in chosen]
             crashes.append([f"{incarnation:x}", now - age, hex_fingerprints])
--- a/packages/rattanfork-core/rattanfork_core/quarantine/report.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/report.py
@@ -4,14 +4,14 @@
 
 from rattanfork_core.hashing import hash64
 
-#: Numbers of a report are below this; msgpack integers have at most 64 bits.
+#: Exclusive upper bound of integers; those of msgpack have at most 64 bits.
 _INTEGER_LIMIT = 1 << 64
 
 
 class CrashReport(NamedTuple):
     """Requests that may have crashed one incarnation of an upstream.
 
-    An incarnation is one run of the upstream process.
+    An incarnation is one run of the upstream process, whose node may keep running.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/suspects.py
@@ -15,7 +15,7 @@
 
 
 class SuspectTracker:
-    """Tracks lost and completed requests of one gate, to name suspects of a crash.
+    """Tracks lost and completed requests of one gate, to find suspects of a crash.
 
     Explanation
     ===========
--- a/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_suspects.py
+++ b/packages/rattanfork-core/rattanfork_core/quarantine/tests/test_suspects.py
@@ -27,7 +27,7 @@
 
 
 def test_recently_successful_request_is_no_suspect():
-    """Guards against a quarantine of a popular request, in flight at most crashes."""
+    """Guards against the quarantine of a popular request, in flight at most crashes."""
     clock = ManualClock()
     tracker = SuspectTracker(clock)
     for _ in range(300):
