--- a/packages/rattanfork-core/rattanfork_core/revision/commit.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/commit.py
@@ -1,4 +1,4 @@
-"""Commit of a new revision of the rules to a table of the store."""
+"""Commit of a new revision of the rules to the store's table."""
 
 from dataclasses import dataclass
 from enum import IntEnum
--- a/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/confirmation_schedule.py
@@ -1,14 +1,14 @@
-"""Schedule of the requests by which a few nodes check the store for changes."""
+"""Schedule of the polls by which a few nodes check the store for changes."""
 
 from math import log, log2
 from random import Random
 
 from rattanfork_core.clock import Clock
 
-#: Seconds after the last confirmation at which the first node of the group may ask.
-#: A change has to be in force everywhere within 2 s.  From the request to the last
-#: peer's fetch it takes some 0.4 s, and a second node has to have time to ask if the
-#: first one is suspended or cut off just then.
+#: Seconds after the last confirmation at which the first node of the group may poll.
+#: A change has to be in force everywhere within 2 s.  From the poll to the last
+#: peer's fetch it takes some 0.4 s, and a second node needs time to poll if the first
+#: one is suspended or partitioned off just then.
 _MIN_WAIT_S = 0.6
 #: Width in seconds of the interval, from the minimum on, from which waits are drawn.
 _WAIT_SPREAD_S = 0.5
@@ -16,29 +16,29 @@
 #: the fleet: confirmations reach it on the probes of others, one round trip a second.
 _OUTSIDER_WAIT_S = 1.5
 _OUTSIDER_WAIT_PER_DOUBLING_S = 0.5
-#: First and longest pause in seconds after a request that the store did not answer.
+#: First and longest pause in seconds after a poll that the store did not answer.
 _FIRST_RETRY_S = 0.1
 _MAX_RETRY_S = 1.0
 
 
 class ConfirmationSchedule:
-    """Schedules requests for confirmation that no newer version was accepted.
+    """Schedules polls that confirm that the store holds no newer version.
 
     Explanation
     ===========
 
     Nodes normally learn of changes by a watch on the store, or from peers.  A watch
     that the store has lost looks like one without events, and if all
-    watches are lost at once, no peer has a newer version either.  So nodes also ask
+    watches are lost at once, no peer has a newer version either.  So nodes also poll
     the store, with feedback suppression [1]_: each node of a small group waits for a
-    random time after the last confirmation, then asks the store and sends the
+    random time after the last confirmation, then polls the store and sends the
     confirmation to the others, which start to wait anew.  Waits are distributed so
-    that few of them end early, whatever the size of the group.  So the rate of
-    requests depends neither on the size of the fleet nor on any single node.  A node
-    that receives no confirmations asks for itself.
+    that few of them end early, whatever the size of the group.  So the rate of polls
+    depends neither on the size of the fleet nor on any single node.  A node that
+    receives no confirmations polls the store itself.
 
     With all watches lost, a change is in force everywhere after 0.7 s with 12 nodes
-    and after 1.2 s with 1,000 nodes, at about two requests a second from the whole
+    and after 1.2 s with 1,000 nodes, at about two polls a second from the whole
     fleet (simulated with the real membership views, worst of three seeds).  Without
     this schedule it takes 21.5 s, until the watches time out.
 
@@ -80,7 +80,7 @@
         self._confirmed = False
         self._group_size = 1
         self._outsider_wait: float | None = None
-        self._asked_at = clock.now()
+        self._polled_at = clock.now()
         self._wait = self._draw_wait()
         self._retry_at = clock.now()
         self._retry_pause = _FIRST_RETRY_S
@@ -92,7 +92,7 @@
 
         Otherwise a node that starts while the store is unavailable would send the
         time since its start as the age of a confirmation, and the others would
-        put off their own requests.
+        delay their own polls.
         """
         return self._confirmed
 
@@ -108,7 +108,7 @@
         ==========
 
         group_size : int
-            Number of nodes that ask the store in place of each other.
+            Number of nodes that take turns polling the store.
         fleet_size : int
             Number of all nodes.
         is_member : bool
@@ -130,30 +130,30 @@
             self._wait = self._draw_wait()
 
     def schedule_now(self) -> None:
-        """Make a request due now, except during the pause after a failure."""
+        """Make a poll due now, except during the pause after a failure."""
         self._wait = 0.0
 
     def due(self) -> bool:
-        """Return whether to ask the store now."""
+        """Return whether to poll the store now."""
         now = self._clock.now()
         wait_is_over = now - self._confirmed_at >= self._wait
         return wait_is_over and not self._in_progress and now >= self._retry_at
 
     def begin(self) -> None:
-        """Record that a request was sent."""
+        """Record that a poll was sent."""
         self._in_progress = True
-        self._asked_at = self._clock.now()
+        self._polled_at = self._clock.now()
 
     def end(self, succeeded: bool) -> None:
-        """Record whether the request succeeded.
+        """Record whether the poll succeeded.
 
-        The store may have read the version at any time since the request was sent,
-        so the confirmation counts from when it was sent.
+        The store may have read the version at any time since the poll was sent, so
+        the confirmation counts from when it was sent.
         """
         self._in_progress = False
         if succeeded:
             self._retry_pause = _FIRST_RETRY_S
-            self.on_confirmation(self._clock.now() - self._asked_at)
+            self.on_confirmation(self._clock.now() - self._polled_at)
             return
         self._retry_at = self._clock.now() + self._retry_pause * self._random.uniform(
             0.7, 1.3
--- a/packages/rattanfork-core/rattanfork_core/revision/lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/lease.py
@@ -1,4 +1,4 @@
-"""Lease on the configuration: limits how long a node may trust it unconfirmed."""
+"""Lease on the configuration: limits how long a node may use it unconfirmed."""
 
 from math import inf
 
@@ -9,20 +9,20 @@
 
 
 class ConfigurationLease:
-    """Age of the last proof that no newer configuration had been accepted.
+    """Age of the last confirmation that no newer configuration had been accepted.
 
     Explanation
     ===========
 
     A revoked API key must be refused by every node within some seconds, also by one
     that is partitioned, was suspended, or gets no replies from the store.  So a node
-    accepts keys only while it has a recent proof that its configuration was the
-    newest.
+    accepts keys only while it has a recent confirmation that its configuration was
+    the newest.
 
-    A proof counts from when it was *requested*, on the node's own clock.  It comes
-    from the store, or from a peer that replies with the age of its own proof.
-    Unsolicited datagrams prove nothing: one may have waited in the socket's buffer
-    while this node was suspended.
+    A confirmation counts from when it was *requested*, on the node's own clock.  It
+    comes from the store, or from a peer that replies with the age of its own
+    confirmation.  Unsolicited datagrams do not count: one may have waited in the
+    socket's buffer while this node was suspended.
 
     Parameters
     ==========
@@ -43,7 +43,7 @@
     >>> lease.age
     2.0
 
-    A peer replies half a second after the request that its own proof was 1 s old:
+    Half a second after the request, a peer replies that its confirmation is 1 s old:
 
     >>> number = lease.start_request()
     >>> clock.advance(0.5)
@@ -67,16 +67,16 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the last proof; infinite if there was none."""
+        """Seconds since the last confirmation; infinite if there was none."""
         return self._clock.now() - self._confirmed_at
 
     def now(self) -> float:
-        """Return the current time of the clock by which proofs are dated."""
+        """Return the current time of the clock of confirmations."""
         return self._clock.now()
 
-    def confirm(self, asked_at: float) -> None:
-        """Record that the store, asked at ``asked_at``, held nothing newer."""
-        self._confirmed_at = max(self._confirmed_at, asked_at)
+    def confirm(self, requested_at: float) -> None:
+        """Record that the store, polled at ``requested_at``, held nothing newer."""
+        self._confirmed_at = max(self._confirmed_at, requested_at)
 
     def start_request(self) -> int:
         """Record a request to a peer; return its number."""
@@ -87,13 +87,13 @@
         return self._last_number
 
     def on_reply(self, number: int, age: float) -> bool:
-        """Record the age of a peer's proof; return whether it was requested.
+        """Record the age of a peer's confirmation; return whether it was requested.
 
         The caller must have checked that the peer's configuration is no newer than
         the one of this node.
         """
-        asked_at = self._pending.pop(number, None)
-        if asked_at is None or age < 0:
+        requested_at = self._pending.pop(number, None)
+        if requested_at is None or age < 0:
             return False
-        self.confirm(asked_at - age)
+        self.confirm(requested_at - age)
         return True
--- a/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/poll_schedule.py
@@ -12,7 +12,7 @@
     ===========
 
     Each failure doubles the pause, up to a limit and with jitter.  So the nodes of
-    the fleet neither overload a store that is recovering nor ask it in step.
+    the fleet neither overload a store that is recovering nor poll it in step.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/revision/record.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/record.py
@@ -30,7 +30,7 @@
     revision : int
         Number of the revision; 0 if there are no rules.
     operation : str
-        ID of the commit; tells apart two changes made from the same revision.
+        ID of the commit; distinguishes two changes made from the same revision.
     author : str
         Operator who made the change.
     comment : str
--- a/packages/rattanfork-core/rattanfork_core/revision/state.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/state.py
@@ -19,7 +19,7 @@
     ===========
 
     Revisions may be received in any order, and an older one never replaces a newer
-    one.  A node starts without any.  It is *ready* once it has read the table of
+    one.  A node starts without rules.  It is *ready* once it has read the table of
     rules in the store, or once peers in enough data centres have sent their
     revisions.  A single data centre may have been partitioned off when the last
     change was accepted, and a node that trusted it alone would apply outdated rules.
@@ -78,7 +78,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the rules are known well enough to accept requests."""
+        """Whether the node has revisions from the store or enough data centres."""
         return self._ready
 
     def receive_from_store(
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Proofs that a configuration is the newest, with partitions and suspended nodes."""
+"""Ages of confirmations, with partitions, late datagrams and suspended nodes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -29,7 +29,7 @@
     assert not lease.on_reply(number, 0.0)
 
 
-def test_older_proof_does_not_replace_a_newer_one():
+def test_older_confirmation_does_not_replace_a_newer_one():
     clock = ManualClock(100.0)
     lease = ConfigurationLease(clock)
     lease.confirm(99.0)
@@ -49,11 +49,11 @@
 
 
 @given(_EVENTS)
-def test_proof_is_never_newer_than_a_change_that_the_node_lacks(events):
+def test_confirmation_is_never_newer_than_a_change_that_the_node_lacks(events):
     """Four nodes and a store, with datagrams that are late, lost or reordered.
 
-    At the time of a node's proof, no configuration that the node lacks had been
-    accepted.
+    At the time of a node's confirmation, no configuration that the node lacks had
+    been accepted.
     """
     clock = ManualClock(100.0)
     accepted = [clock.now()]
@@ -62,18 +62,18 @@
     requests: list[tuple[int, int, int]] = []
     for kind, node, other, seconds in events:
         if kind == "store":
-            asked_at = leases[node].now()
+            requested_at = leases[node].now()
             versions[node] = len(accepted)
             clock.advance(seconds)
-            leases[node].confirm(asked_at)
+            leases[node].confirm(requested_at)
         elif kind == "ask":
             requests.append((node, other, leases[node].start_request()))
         elif kind == "deliver" and requests:
-            asker, peer, number = requests.pop(other % len(requests))
+            requester, peer, number = requests.pop(other % len(requests))
             version, age = versions[peer], leases[peer].age
             clock.advance(seconds)
-            if version <= versions[asker]:
-                leases[asker].on_reply(number, age)
+            if version <= versions[requester]:
+                leases[requester].on_reply(number, age)
         elif kind == "pause":
             clock.advance(seconds)
         elif kind == "change":
--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_revision.py
@@ -85,8 +85,8 @@
 
 @given(FAULTS, st.integers(1, 3))
 def test_one_of_two_concurrent_commits_is_accepted(faults, position):
-    # Guards against a lost update: if both operators were told that their change
-    # was accepted, one of the changes would be overwritten unnoticed.
+    # Guards against a lost update: if both commits were reported as accepted, one of
+    # the changes would be overwritten unnoticed.
     table = FakeTable()
     theirs: list[CommitOutcome] = []
 
@@ -143,7 +143,7 @@
     st.lists(st.tuples(st.integers(1, 3), st.integers(1, 4)), min_size=1, max_size=12),
     st.randoms(),
 )
-def test_rules_in_force_never_go_back_when_the_store_is_restored(accepted, random):
+def test_rules_in_force_are_never_older_after_the_store_is_restored(accepted, random):
     """Guards against revision numbers that a restored store uses a second time."""
     records = [
         RulesRecord(revision, f"{era}.{revision}", "ann", "", TEXT, era)
