--- a/packages/rattanfork-node/rattanfork_node/member/directory.py
+++ b/packages/rattanfork-node/rattanfork_node/member/directory.py
@@ -20,7 +20,8 @@
     membership : Membership
         Membership view of this node.
     local_load : float
-        Load up to which instances of the local data centre are preferred.
+        Load below which instances of the local data centre are picked without a
+        comparison with those of others; 0 always compares all.
     """
 
     def __init__(
@@ -68,13 +69,13 @@
         for member in self._membership.present():
             if not member.ready or member.slots < 1:
                 continue
-            # A node that has just started sees every instance for the first time;
-            # it dates them back so that none is treated as cold.
-            incarnation = member.name, member.succession
+            # A node that has just started sees every instance for the first time; it
+            # assumes that they have long been running, so that none counts as cold.
+            upstream_process = member.name, member.succession
             since = self._known_since.get(
-                incarnation, now - 3600 if first_build else now
+                upstream_process, now - 3600 if first_build else now
             )
-            known_since[incarnation] = since
+            known_since[upstream_process] = since
             state = InstanceState(
                 member.name,
                 member.data_centre,
--- a/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/gate_report_task.py
@@ -7,8 +7,8 @@
 from rattanfork_node.relay.gate import Gate
 from rattanfork_node.telemetry import log_change
 
-#: Members addressed at each tick.  With one, reports took most of a second to reach
-#: a fleet of hundreds.
+#: Members to which reports are sent at each tick.  With one, reports took most of a
+#: second to reach a fleet of hundreds.
 _FANOUT = 2
 
 
@@ -62,8 +62,8 @@
         if impaired != self._impaired:
             self._impaired = impaired
             log_change("upstream_impaired" if impaired else "upstream_sound")
-        cut = gate.own_threshold if self._reports_threshold else None
-        self._reports.update_own(self._membership.me.service, cut, impaired)
+        threshold = gate.own_threshold if self._reports_threshold else None
+        self._reports.update_own(self._membership.me.service, threshold, impaired)
 
     def _update_reporters(self) -> None:
         self._membership_version = self._membership.version
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -27,8 +27,8 @@
 
 #: Token issuers of each data centre; an account is assigned to one issuer at a time.
 _ISSUERS_PER_DATA_CENTRE = 8
-#: Time for which an issuer that seems failed may still issue tokens, as with a
-#: partition.
+#: Time for which a suspected issuer may still be issuing tokens, as it does if it is
+#: only partitioned off.
 _DOUBT_PERIOD_S = 10.0
 #: Window over which the largest fleet size is kept.
 _FLEET_SIZE_WINDOW_S = 30.0
@@ -81,7 +81,7 @@
         self._has_joined = has_joined
         self._membership_version = -1
         self._issuer_orders: dict[str, list[str]] = {}
-        #: Newest incarnation of each issuer, by instance; the set of issuers last
+        #: Newest record of each issuer, by instance; the set of issuers last
         #: changed at ``_settled_at``.
         self._issuers: dict[str, Member] = {}
         self._settled_at = clock.now()
@@ -194,7 +194,7 @@
             return
         self._membership_version = self._membership.version
         self._issuer_orders.clear()
-        newest = _newest_alive_incarnations(self._membership.members.values())
+        newest = _newest_alive_records(self._membership.members.values())
         self._alive_count = len(newest)
         self._fleet_size.update(self._alive_count)
         issuers = _select_issuers(newest)
@@ -208,8 +208,8 @@
         self._failed_at = {name: at for name, at in failed if at > oldest}
 
 
-def _newest_alive_incarnations(members: Iterable[Member]) -> dict[str, Member]:
-    """Return the newest live record of each instance.
+def _newest_alive_records(members: Iterable[Member]) -> dict[str, Member]:
+    """Return the record of the newest live node process of each instance.
 
     After a restart of all nodes, a view still holds records of former processes.
     """
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_join.py
@@ -114,7 +114,7 @@
 
     An earlier node read the store before this one wrote its record, so only gossip
     can announce it.  If this node is killed before the next tick and the store
-    then fails, nobody knows its address or discovers its restarted process.
+    then fails, no node knows its address or discovers its restarted process.
     """
 
     async def run():
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
@@ -96,7 +96,7 @@
     assert node.verdicts == [QuotaDecision.GRANTED]
 
 
-def test_next_issuer_is_asked_when_the_first_does_not_answer():
+def test_request_goes_to_the_next_issuer_when_the_first_does_not_answer():
     node = Node((issuer_number() + 1) % 6)
     node.take()
     node.run(0.3)
@@ -116,7 +116,7 @@
 
 
 def test_node_that_has_not_joined_issues_nothing():
-    """Guards against a starting node that believes it is the only one."""
+    """Guards against limits multiplied by starting nodes that know no other node."""
     node = Node(issuer_number())
     node.joined = False
     node.task.on_request(QuotaRequest(1, "n5@b", "clerks", 1), ("127.0.0.1", 6))
