--- a/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/configuration_task.py
@@ -149,8 +149,8 @@
         while True:
             await asyncio.sleep(_PEER_POLL_INTERVAL_S * self._random.uniform(0.7, 1.3))
             # A responsive store has answered before the first iteration.  A silent
-            # one is detected only after more than a second, during which callers
-            # would wait.
+            # one is detected only after more than a second, during which callers'
+            # requests would wait.
             if self.outdated or self._holder.current is None:
                 await self._fetch_from_peer()
 
--- a/packages/rattanfork-node/rattanfork_node/config/holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/holder.py
@@ -26,7 +26,7 @@
         self._decode = decode
         self._current: Configuration | None = None
         self._document = b""
-        self._turns: dict[str, tuple[Route, WeightedRoundRobin]] = {}
+        self._round_robins: dict[str, tuple[Route, WeightedRoundRobin]] = {}
         #: Called after a new configuration has come into force.
         self.on_change: Callable[[Configuration], None] = lambda _: None
 
@@ -60,16 +60,16 @@
         self._current = configuration
         self._document = document
         names = {route.name for route in configuration.routes}
-        self._turns = {n: t for n, t in self._turns.items() if n in names}
+        self._round_robins = {n: t for n, t in self._round_robins.items() if n in names}
         self.on_change(configuration)
         return True
 
     def next_service(self, route: Route) -> str | None:
-        """Choose the service of the next request by the weights of a route."""
+        """Choose the service of the next request by the weights of its route."""
         if len(route.services) == 1:
             return route.services[0].service
-        entry = self._turns.get(route.name)
+        entry = self._round_robins.get(route.name)
         if entry is None or entry[0].services != route.services:
             entry = (route, WeightedRoundRobin(route.services))
-            self._turns[route.name] = entry
+            self._round_robins[route.name] = entry
         return entry[1].next()
--- a/packages/rattanfork-node/rattanfork_node/config/lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/lease_task.py
@@ -17,16 +17,16 @@
 from rattanfork_node.config.holder import ConfigurationHolder
 from rattanfork_node.member import GossipTask
 
-#: Lease age from which peers are asked for a newer confirmation.
+#: Lease age from which requests for a newer confirmation are sent to peers.
 _RENEW_AFTER_S = 0.6
 #: Interval between requests to peers.
 _REQUEST_INTERVAL_S = 0.25
-#: Random readers asked while no peer has reported a newer confirmation.
+#: Random readers that receive a request while no peer reports a newer confirmation.
 _FALLBACK_PEERS = 2
 #: Lease age from which a reader, or any other node, polls the store itself.
 _READER_STORE_AFTER_S = 1.5
 _OTHER_STORE_AFTER_S = 2.5
-#: Least gain in age for which a peer is asked.
+#: Least gain in age for which a request is sent to a peer.
 _MIN_GAIN_S = 0.2
 
 
@@ -36,7 +36,7 @@
     Explanation
     ===========
 
-    The lease proves that the configuration was the newest at a recent time.
+    The lease confirms that the configuration was the newest at a recent time.
     Readers take turns polling the store and gossip the age of their confirmation.
     A node renews from the peer that reported the newest one, so the load on the
     store does not grow with the fleet.
@@ -56,7 +56,7 @@
         Readers, which take turns polling the store.
     gossip_task : GossipTask
         Sends and receives gossip messages.
-    ask_store : callable
+    poll_store : callable
         Makes this node poll the store soon.
     """
 
@@ -68,7 +68,7 @@
         membership: Membership,
         readers: RoleAssignment,
         gossip_task: GossipTask,
-        ask_store: Callable[[], None],
+        poll_store: Callable[[], None],
     ) -> None:
         self._random = random
         self._lease = lease
@@ -76,7 +76,7 @@
         self._membership = membership
         self._readers = readers
         self._gossip_task = gossip_task
-        self._ask_store = ask_store
+        self._poll_store = poll_store
         self._next_peer_request = -inf
         self._next_store_request = -inf
         self._urgent = False
@@ -115,7 +115,7 @@
             self.on_renewed()
 
     def renew_soon(self) -> None:
-        """Ask peers at the next tick, as a request waits for a newer lease."""
+        """Renew at the next tick, as a caller's request waits for it."""
         self._urgent = True
 
     def tick(self) -> None:
@@ -140,7 +140,7 @@
         )
         if age > store_after_s and now >= self._next_store_request:
             self._next_store_request = now + self._random.uniform(0.5, 1.5)
-            self._ask_store()
+            self._poll_store()
 
     def _renewal_peers(self, confirmed_at: float) -> list[Member]:
         """Return the peer with a newer confirmation, or random readers."""
--- a/packages/rattanfork-node/rattanfork_node/config/peer_selector.py
+++ b/packages/rattanfork-node/rattanfork_node/config/peer_selector.py
@@ -6,7 +6,7 @@
 
 
 class PeerSelector:
-    """Prefers the peer that announced newer data, then chooses at random.
+    """Chooses the peer that announced newer data once, then peers at random.
 
     Explanation
     ===========
@@ -32,7 +32,7 @@
         self._last_source: Member | None = None
 
     def select(self, source: Member | None) -> Member | None:
-        """Return the peer to ask, or None if no other member is known.
+        """Return the peer to fetch from, or None if no other member is known.
 
         Parameters
         ==========
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -105,8 +105,8 @@
         delay = _MIN_RETRY_DELAY_S
         while self._platform.era == era:
             try:
-                # The quarantine goes first: if all nodes terminate now, only the
-                # stored copy protects the upstreams.
+                # The quarantine is written first: if all nodes terminate now, only
+                # the stored copy protects the upstreams.
                 await self._persist_quarantine()
                 members = await self._write_missing_records()
                 rules = await self._write_rules()
--- a/packages/rattanfork-node/rattanfork_node/config/row_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/row_watch.py
@@ -64,7 +64,7 @@
         return self._known_version or 0
 
     async def next_change(self) -> Rows | None:
-        """Wait for a change; None if the watch was restarted or is up to other nodes.
+        """Wait for a change; None if the watch was restarted or other nodes watch.
 
         Raises
         ======
--- a/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
+++ b/packages/rattanfork-node/rattanfork_node/config/rules_poller.py
@@ -25,8 +25,8 @@
     ===========
 
     A bounded number of members of each data centre poll the table.  All others
-    learn the newest revision from gossip and fetch it from a peer.  The read rate
-    of the table thus depends on the number of data centres, not on the fleet size.
+    learn the newest revision from gossip and fetch it from a peer.  So the read rate
+    of the table depends on the number of data centres, not on the fleet size.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -152,7 +152,7 @@
 async def test_change_is_fetched_from_a_peer_while_the_store_rejects_calls(harness):
     """The store rejects only this node's calls while the operator makes a change.
 
-    The node sees the newer version in gossip and asks a peer for the document.
+    The node sees the newer version in gossip and fetches the document from a peer.
     """
     harness.write(b"1")
     harness.task.start()
@@ -165,7 +165,7 @@
 
 
 @with_harness
-async def test_starting_node_asks_peers_while_the_store_is_down(harness):
+async def test_starting_node_fetches_from_peers_while_the_store_is_down(harness):
     harness.platform.down = True
     harness.peers.version, harness.peers.document = 7, b"7"
     harness.task.start()
@@ -196,11 +196,11 @@
 
 
 @with_harness
-async def test_peer_that_announced_a_change_is_asked_first(harness):
+async def test_first_request_goes_to_the_peer_that_announced_the_change(harness):
     """Guards against slow dissemination by requests to random peers.
 
-    Of 300 nodes only the announcing one holds the change.  With random peers a
-    fleet of that size takes two and a half seconds until all hold it.
+    Of 300 nodes only the announcing one holds the change.  With random peers it
+    takes two and a half seconds until all nodes of such a fleet hold it.
     """
     harness.membership.merge(
         member(f"n{n}")._replace(peer_port=100 + n) for n in range(300)
@@ -214,7 +214,7 @@
 
 
 @with_harness
-async def test_another_peer_is_asked_when_the_announcing_one_fails(harness):
+async def test_next_request_goes_to_another_peer_when_the_announcing_one_fails(harness):
     harness.task.start()
     harness.peers.reachable = False
     harness.gossip_task.configuration_source = member("n7")._replace(peer_port=107)
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_dropped_watch.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_dropped_watch.py
@@ -1,9 +1,9 @@
-"""Watches that the store accepts while it is unresponsive and never completes.
+"""Watches that a stalled store accepts and never completes.
 
 Guards against nodes that keep an old configuration although the store answers.  When
 the store ends all watches and stalls, nodes watch again at once; the store drops these
-calls without an error.  Until its wait expires, a dropped watch cannot be told from
-one without changes, so a change accepted meanwhile must arrive by another way.
+calls without an error.  Until its wait expires, a dropped watch looks like one without
+changes, so a change accepted meanwhile must be found by a poll or through a peer.
 """
 
 import asyncio
@@ -164,11 +164,11 @@
     make_platform = SilentPlatform
 
 
-def test_starting_node_asks_peers_without_waiting_for_a_silent_store():
+def test_starting_node_fetches_from_peers_while_the_store_is_silent():
     """Guards against a restarted node that refuses requests while the store is silent.
 
-    Calls to the store time out after 1.5 s.  When a peer was asked only after each
-    time-out, the node refused requests for four seconds.
+    Calls to the store time out after 1.5 s.  If a peer were polled only after each
+    time-out, the node would refuse requests for four seconds.
     """
 
     async def inner():
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_holder.py
@@ -10,8 +10,8 @@
 
 def decode(document: bytes) -> Configuration:
     version, _, weights = document.decode().partition(":")
-    shares = tuple(WeightedService(name, 1) for name in weights or "a")
-    return Configuration(int(version), (Route("r", "h", "/", shares),), {})
+    services = tuple(WeightedService(name, 1) for name in weights or "a")
+    return Configuration(int(version), (Route("r", "h", "/", services),), {})
 
 
 @given(st.lists(st.integers(1, 20), min_size=1))
@@ -34,11 +34,11 @@
     assert holder.version == 3
 
 
-def test_weighted_turns_continue_when_the_shares_are_unchanged():
-    """Guards against the first share receiving all requests.
+def test_round_robin_continues_when_the_weights_are_unchanged():
+    """Guards against the first service receiving all requests.
 
-    Versions that change other routes arrive every few requests; restarting the
-    rotation with each would always choose the first share.
+    Versions that change other routes arrive every few requests; if each restarted
+    the rotation, the first service would always be chosen.
     """
     holder = ConfigurationHolder(decode)
     chosen = []
@@ -48,7 +48,7 @@
     assert chosen.count("a") == chosen.count("b") == 20
 
 
-def test_changed_shares_restart_the_turns():
+def test_changed_services_restart_the_round_robin():
     holder = ConfigurationHolder(decode)
     holder.offer(b"1:ab")
     holder.next_service(holder.current.routes[0])
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_lease_task.py
@@ -51,7 +51,7 @@
         membership.merge(self.peers)
         self.gossip_task = FakeGossipTask()
         self.lease = ConfigurationLease(self.clock)
-        self.store_asked = 0
+        self.store_polls = 0
         self.renewed = 0
         self.task = LeaseTask(
             Random(1),
@@ -60,7 +60,7 @@
             membership,
             RoleAssignment(membership, "confirmation", 4),
             self.gossip_task,
-            self._ask_store,
+            self._poll_store,
         )
         self.task.on_renewed = self._count_renewal
 
@@ -74,14 +74,14 @@
         sent = self.gossip_task.sent
         return [each for each in sent if isinstance(each[0], LeaseRequest)]
 
-    def _ask_store(self) -> None:
-        self.store_asked += 1
+    def _poll_store(self) -> None:
+        self.store_polls += 1
 
     def _count_renewal(self) -> None:
         self.renewed += 1
 
 
-def test_peer_with_the_newest_confirmation_is_asked():
+def test_request_goes_to_the_peer_with_the_newest_confirmation():
     node = Node()
     node.lease.confirm(node.clock.now())
     node.clock.advance(1.0)
@@ -120,7 +120,7 @@
     assert node.lease.age == float("inf")
 
 
-def test_request_is_answered_with_the_local_lease_age():
+def test_reply_holds_the_local_lease_age():
     node = Node()
     node.task.on_request(LeaseRequest(3), ("127.0.0.1", 9))
     node.lease.confirm(node.clock.now())
@@ -136,17 +136,17 @@
     for _ in range(20):
         node.lease.confirm(node.clock.now())
         node.run(0.5)
-    assert node.store_asked == 0
+    assert node.store_polls == 0
     node.run(5.0)
-    assert 2 <= node.store_asked <= 8
+    assert 2 <= node.store_polls <= 8
 
 
 @pytest.mark.parametrize("seconds", [1.0, 10.0])
-def test_no_requests_without_client_accounts(seconds):
+def test_nothing_is_sent_without_client_accounts(seconds):
     node = Node(accounts=False)
     node.run(seconds)
     assert node.gossip_task.sent == []
-    assert node.store_asked == 0
+    assert node.store_polls == 0
 
 
 def test_waiting_request_triggers_an_early_renewal():
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -157,7 +157,7 @@
 
 @with_short_delays
 async def test_early_reader_writes_all_missing_records():
-    """Guards against hundreds of nodes writing at the same moment."""
+    """Guards against hundreds of nodes that write at the same time."""
     harness = Harness(others=200)
     await harness.restore()
     await wait_until(lambda: len(harness.platform.rows) == 201)
