--- a/packages/rattanfork-core/rattanfork_core/membership/member.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/member.py
@@ -107,14 +107,16 @@
             If the number, a type or a range of the fields is wrong.
         """
         if not isinstance(fields, list | tuple) or len(fields) != len(cls._fields):
-            raise ValueError("member record: wrong number of fields")
+            raise ValueError("member record: list of 12 fields expected")
         texts, numbers = fields[:5], (*fields[5:8], *fields[9:])
         if not all(isinstance(text, str) and len(text) <= 200 for text in texts):
             raise ValueError("member record: string of at most 200 characters expected")
         if not all(type(number) is int and 0 <= number < 1 << 62 for number in numbers):
             raise ValueError("member record: integer from 0 to 2**62 - 1 expected")
         if type(fields[8]) is not bool or fields[10] > MemberStatus.DEAD:
-            raise ValueError("member record: invalid ready flag or status")
+            raise ValueError(
+                "member record: boolean ready flag and status up to 3 expected"
+            )
         if not (0 < fields[5] < 65536 and 0 < fields[6] < 65536):
             raise ValueError("member record: port from 1 to 65535 expected")
         return cls(*fields)
--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -164,9 +164,11 @@
             )
         number, sender, target, versions, updates = fields
     except Exception as error:
-        raise ValueError("malformed datagram: unreadable content") from error
+        raise ValueError(
+            "malformed datagram: fields of a known message type expected"
+        ) from error
     if type(number) is not int:
-        raise ValueError("malformed datagram: message number must be an integer")
+        raise ValueError("malformed datagram: integer message number expected")
     if not isinstance(target, str) or not isinstance(updates, tuple):
         raise ValueError("malformed datagram: target name and list of updates expected")
     return message_type(
--- a/packages/rattanfork-core/rattanfork_core/revision/record.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/record.py
@@ -90,5 +90,7 @@
         texts = [row.get(k) for k in ("operation", "author", "comment", "text")]
         numbers = type(revision) is int and type(era) is int and era >= 0
         if not numbers or not all(isinstance(t, str) for t in texts):
-            raise ValueError("rules row: fields missing or of a wrong type")
+            raise ValueError(
+                "rules row: integer revision, era from 0 and four texts expected"
+            )
         return cls(revision, *texts, era)
--- a/packages/rattanfork-core/rattanfork_core/rules/document.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/document.py
@@ -74,7 +74,7 @@
         others = (self.limit, self.deadline, self.attempts, self.data_centre)
         if self.refuse is not None and any(v is not None for v in others):
             raise ValueError(
-                "refuse excludes limit, deadline, attempts and data_centre"
+                "refuse must be without limit, deadline, attempts and data_centre"
             )
         return self
 
--- a/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
+++ b/packages/rattanfork-core/rattanfork_core/rules/yaml_loader.py
@@ -63,7 +63,9 @@
 
 def _compose(text: str, source: str) -> yaml.Node | None:
     if len(text) > MAX_DOCUMENT_LENGTH:
-        raise FindingsError([Finding(source, 1, 1, "document exceeds maximum length")])
+        raise FindingsError(
+            [Finding(source, 1, 1, "document of at most 4000000 characters expected")]
+        )
     try:
         return yaml.compose(text, Loader=yaml.CSafeLoader)
     except yaml.MarkedYAMLError as error:
@@ -87,7 +89,9 @@
 ) -> Any:
     if depth > _MAX_DEPTH:
         # A recursive alias would overflow the stack.
-        raise FindingsError([_finding(node, source, "document exceeds maximum depth")])
+        raise FindingsError(
+            [_finding(node, source, "nesting depth of at most 50 expected")]
+        )
     if isinstance(node, yaml.MappingNode):
         return _construct_mapping(node, source, findings, depth)
     if isinstance(node, yaml.SequenceNode):
