--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -80,12 +80,12 @@
         self._call("watch")
         if self.history_lost:
             self.history_lost = False
-            raise HistoryLostError("gone")
+            raise HistoryLostError("history truncated")
         if self.version <= after:
             self._changed.clear()
             await self._changed.wait()
             if self.down:
-                raise PlatformDownError("away")
+                raise PlatformDownError("store unreachable")
         rows = self.tables.get(table, {})
         return Rows({k: Row(1, v) for k, v in rows.items()}, self.version)
 
@@ -93,7 +93,7 @@
         self._call("changes")
         if self.history_lost:
             self.history_lost = False
-            raise HistoryLostError("gone")
+            raise HistoryLostError("history truncated")
         rows = self.tables.get(table, {}) if self.version > after else {}
         return Rows({k: Row(1, v) for k, v in rows.items()}, self.version)
 
@@ -108,7 +108,7 @@
     def _call(self, call: str) -> None:
         self.calls.append(call)
         if self.down:
-            raise PlatformDownError("away")
+            raise PlatformDownError("store unreachable")
 
 
 class FakePeers:
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_confirmation_task.py
@@ -47,7 +47,7 @@
     async def refresh(self, store_version: int) -> int:
         self.polls.append(store_version)
         if self.down:
-            raise PlatformDownError("away")
+            raise PlatformDownError("store unreachable")
         return self.version
 
 
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_store_faults.py
@@ -28,7 +28,14 @@
 #: In this order: the call is rejected; it is executed but its reply is lost; it is
 #: executed after a delay; the change history is truncated; the value is malformed;
 #: no fault.
-FAULTS = ("away", "answer lost", "done late", "history gone", "malformed", "none")
+FAULTS = (
+    "rejected",
+    "reply lost",
+    "applied late",
+    "history truncated",
+    "malformed",
+    "none",
+)
 _LATE_WRITE_DELAY_S = 0.02
 
 
@@ -42,14 +49,14 @@
     async def transact(self, checks, writes) -> bool:
         self.calls.append("transact")
         fault = self._next_fault()
-        if fault == "away":
-            raise PlatformDownError("away")
+        if fault == "rejected":
+            raise PlatformDownError("store unreachable")
         loop = asyncio.get_running_loop()
-        if fault == "done late":
+        if fault == "applied late":
             loop.call_later(_LATE_WRITE_DELAY_S, self._write, writes)
             raise PlatformDownError("no answer")
         self._write(writes)
-        if fault == "answer lost":
+        if fault == "reply lost":
             raise PlatformDownError("no answer")
         return True
 
@@ -69,9 +76,9 @@
 
     def _inject(self, rows: Rows) -> Rows:
         fault = self._next_fault()
-        if fault == "history gone" and self.calls[-1] == "watch":
-            raise HistoryLostError("gone")
-        if fault in ("away", "answer lost", "done late"):
+        if fault == "history truncated" and self.calls[-1] == "watch":
+            raise HistoryLostError("history truncated")
+        if fault in ("rejected", "reply lost", "applied late"):
             raise PlatformDownError(fault)
         if fault == "malformed":
             corrupt = {key: Row(row.version, b"?") for key, row in rows.rows.items()}
