--- a/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/tests/test_lease.py
@@ -39,7 +39,7 @@
 
 _EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(("store", "ask", "deliver", "pause", "change", "restart")),
+        st.sampled_from(("store", "request", "deliver", "pause", "change", "restart")),
         st.integers(0, 3),
         st.integers(0, 3),
         st.floats(0.0, 3.0),
@@ -66,7 +66,7 @@
             versions[node] = len(accepted)
             clock.advance(seconds)
             leases[node].confirm(requested_at)
-        elif kind == "ask":
+        elif kind == "request":
             requests.append((node, other, leases[node].start_request()))
         elif kind == "deliver" and requests:
             requester, peer, number = requests.pop(other % len(requests))
--- a/packages/rattanfork-core/rattanfork_core/settings/models.py
+++ b/packages/rattanfork-core/rattanfork_core/settings/models.py
@@ -20,10 +20,9 @@
 
     ``slots`` is the number of requests that it runs at a time, and ``connections`` the
     maximum number of connections to it; both apply until the upstream announces its
-    own values.
-    It is no longer used if it announces nothing for ``announce_timeout`` seconds;
-    ``warmup`` is the time in seconds over which its concurrency limit rises to the
-    full value after a cold start.
+    own values.  An upstream that announces nothing for ``announce_timeout`` gets no
+    further requests.  ``warmup`` is the time over which its concurrency limit rises
+    to the full value after a cold start.
     """
 
     url: Url
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -33,7 +33,7 @@
     Explanation
     ===========
 
-    A store that comes back from an older backup starts a new era.  The operator and
+    A store that is restored from a backup starts a new era.  The operator and
     the upstreams rewrite their own rows.  Member records, accepted rules and the
     quarantine were written by nodes, which may not contact the store again for
     hours, so a few readers rewrite them for all from their local state.
@@ -47,7 +47,7 @@
     platform : WatchedPlatform
         The store.
     readers : RoleAssignment
-        Readers, in the order of their turns.
+        Readers; the first few rewrite the rows, one after the other.
     membership : Membership
         Membership view of this node.
     rules : RevisionState
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -118,13 +118,13 @@
         self.version = 0
         self.document = b""
         self.reachable = True
-        self.asked = 0
+        self.request_count = 0
         self.data_centres = deque(("dc1", "dc2"))
         self.addresses: list[tuple[str, int]] = []
         self.record = RulesRecord(*_NO_RULES)
 
     async def open(self, address):
-        self.asked += 1
+        self.request_count += 1
         self.addresses.append(address)
         if not self.reachable:
             raise LinkLostError("peer is unreachable")
@@ -134,7 +134,7 @@
         return 1
 
     async def ask_rules(self, address, known: int):
-        self.asked += 1
+        self.request_count += 1
         record = (
             self.record if self.record.revision > known else RulesRecord(*_NO_RULES)
         )
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_configuration_task.py
@@ -179,7 +179,7 @@
     await wait_until(lambda: harness.holder.version == 9)
     harness.peers.version, harness.peers.document = 8, b"8"
     harness.gossip_task.newest_configuration = 10
-    await wait_until(lambda: harness.peers.asked >= 2)
+    await wait_until(lambda: harness.peers.request_count >= 2)
     assert harness.holder.version == 9
 
 
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -78,8 +78,8 @@
         platform: RestoredPlatform | None = None,
     ) -> None:
         members = [member(f"n{number}") for number in range(others + 1)]
-        turns = role_holders([m.name for m in members], "confirmation", readers)
-        me = next(m for m in members if m.name == turns[turn])
+        holders = role_holders([m.name for m in members], "confirmation", readers)
+        me = next(m for m in members if m.name == holders[turn])
         self.platform = platform or RestoredPlatform()
         self.membership = Membership(ManualClock(), Random(1), me)
         self.membership.merge(m for m in members if m is not me)
--- a/packages/rattanfork-node/rattanfork_node/member/quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/quota_task.py
@@ -43,7 +43,7 @@
     ===========
 
     Rendezvous hashing of account and instance orders the issuers of an account.  A
-    request goes to the first, and to the next ones if it does not answer.
+    request is sent to the first, and to the next ones if it does not reply.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
+++ b/packages/rattanfork-node/rattanfork_node/member/tests/test_quota_task.py
@@ -100,11 +100,11 @@
     node = Node((issuer_number() + 1) % 6)
     node.take()
     node.run(0.3)
-    asked = [address for _, address in node.gossip_task.sent]
+    addresses = [address for _, address in node.gossip_task.sent]
     first, second = (node.membership.members[name].address for name in node.order[:2])
-    assert asked[:2] == [first, first]
+    assert addresses[:2] == [first, first]
     me = node.membership.me.address
-    assert len(asked) == 2 or asked[2] == second or second == me
+    assert len(addresses) == 2 or addresses[2] == second or second == me
 
 
 def test_suspected_issuer_is_removed_from_the_order():
