--- a/packages/rattanfork-core/rattanfork_core/burn/meter.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/meter.py
@@ -19,7 +19,7 @@
     Only requests of callers are counted, not calls between services, since the
     objective applies to callers' requests.  Memory is bounded: fixed windows per
     combination, a limit on their number, and a mergeable sketch of latencies per
-    service.
+    service, with a relative error of 2%.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/burn/report.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/report.py
@@ -43,7 +43,7 @@
 def burn_report(
     objectives: Iterable[ObjectiveModel], totals: Iterable[Totals]
 ) -> list[BurnLine]:
-    """Return the burn rates of each objective, from the totals of all nodes.
+    """Return the error budget of each objective, from the totals of all nodes.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/trace/log_sampler.py
+++ b/packages/rattanfork-core/rattanfork_core/trace/log_sampler.py
@@ -81,7 +81,10 @@
         return False
 
     def take_omitted(self) -> dict[str, int]:
-        """Return and reset the number of omitted lines, by kind."""
+        """Return and reset the number of omitted lines, by kind.
+
+        The kind is ``plain`` for requests that succeeded in time, else ``trouble``.
+        """
         omitted, self._omitted = dict(self._omitted), Counter()
         return omitted
 
