--- a/packages/rattanfork-core/rattanfork_core/burn/meter.py
+++ b/packages/rattanfork-core/rattanfork_core/burn/meter.py
@@ -6,6 +6,7 @@
 from rattanfork_core.objectives import WINDOWS, WindowedCount
 from rattanfork_core.request.importance import Importance
 
+#: Maximum combinations of service, importance and rule; others are not counted.
 _MAX_SERIES = 2000
 
 
@@ -18,7 +19,7 @@
     Only requests of callers are counted, not calls between services, since the
     objective applies to callers' requests.  Memory is bounded: fixed windows per
     combination, a limit on their number, and a mergeable sketch of latencies per
-    service.
+    service, with a relative error of 2%.
 
     Examples
     ========
--- a/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/fakes.py
@@ -80,12 +80,12 @@
         self._call("watch")
         if self.history_lost:
             self.history_lost = False
-            raise HistoryLostError("gone")
+            raise HistoryLostError("history truncated")
         if self.version <= after:
             self._changed.clear()
             await self._changed.wait()
             if self.down:
-                raise PlatformDownError("away")
+                raise PlatformDownError("store unreachable")
         rows = self.tables.get(table, {})
         return Rows({k: Row(1, v) for k, v in rows.items()}, self.version)
 
@@ -93,7 +93,7 @@
         self._call("changes")
         if self.history_lost:
             self.history_lost = False
-            raise HistoryLostError("gone")
+            raise HistoryLostError("history truncated")
         rows = self.tables.get(table, {}) if self.version > after else {}
         return Rows({k: Row(1, v) for k, v in rows.items()}, self.version)
 
@@ -108,7 +108,7 @@
     def _call(self, call: str) -> None:
         self.calls.append(call)
         if self.down:
-            raise PlatformDownError("away")
+            raise PlatformDownError("store unreachable")
 
 
 class FakePeers:
@@ -118,13 +118,13 @@
         self.version = 0
         self.document = b""
         self.reachable = True
-        self.asked = 0
+        self.request_count = 0
         self.data_centres = deque(("dc1", "dc2"))
         self.addresses: list[tuple[str, int]] = []
         self.record = RulesRecord(*_NO_RULES)
 
     async def open(self, address):
-        self.asked += 1
+        self.request_count += 1
         self.addresses.append(address)
         if not self.reachable:
             raise LinkLostError("peer is unreachable")
@@ -134,7 +134,7 @@
         return 1
 
     async def ask_rules(self, address, known: int):
-        self.asked += 1
+        self.request_count += 1
         record = (
             self.record if self.record.revision > known else RulesRecord(*_NO_RULES)
         )
