--- a/packages/rattanfork-node/rattanfork_node/admin/admin.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/admin.py
@@ -33,7 +33,7 @@
         Handles an announcement of the upstream; may raise ValueError.
     on_drain : callable
         Starts draining the node.
-    on_news : callable
+    on_rules_change : callable
         Called when the rules in the store have changed.
     """
 
@@ -46,7 +46,7 @@
         fleet: FleetSource,
         on_announcement: Callable[[Announcement], None],
         on_drain: Callable[[], None],
-        on_news: Callable[[], None],
+        on_rules_change: Callable[[], None],
     ) -> None:
         self._rules = rules
         self._metrics = metrics
@@ -55,7 +55,7 @@
         self._fleet = fleet
         self._on_announcement = on_announcement
         self._on_drain = on_drain
-        self._on_news = on_news
+        self._on_rules_change = on_rules_change
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -125,7 +125,7 @@
         return web.json_response({"draining": True}, status=202)
 
     async def _post_news(self, _: web.Request) -> web.Response:
-        self._on_news()
+        self._on_rules_change()
         return web.json_response({"reading": True}, status=202)
 
 
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -35,7 +35,7 @@
 from rattanfork_node.telemetry.metrics import Metrics
 
 _TICK_SECONDS = 0.1
-#: Seconds between announcing the leaving and closing the edge to callers.
+#: Seconds between announcing the leaving and closing the server to callers.
 _LEAVE_PROPAGATION = 0.5
 #: Consecutive refused connections after which an upstream is considered gone.
 _MAX_REFUSED = 3
@@ -105,7 +105,7 @@
         self._membership.cached_versions = lambda: CachedVersions(
             rules=self._rules.order
         )
-        self._guard = CallGate(
+        self._call_gate = CallGate(
             self._clock,
             settings.instance,
             boot,
@@ -120,10 +120,10 @@
         )
         self._burn = BurnMeter(self._clock)
         self._handler = NodePeerHandler(
-            self._clock, self._guard, self._rules, self._burn, self._counters
+            self._clock, self._call_gate, self._rules, self._burn, self._counters
         )
         self._pool = PeerPool(
-            lambda: self._make_link(connecting=True),
+            lambda: self._create_link(connecting=True),
             self._clock,
             settings.requests.silence,
         )
@@ -136,7 +136,7 @@
                 settings.platform.url, settings.platform.timeout
             )
         seeds = [seed.rsplit(":", 1) for seed in settings.seeds]
-        self._member = GossipTask(
+        self._gossip_task = GossipTask(
             self._clock,
             self._random,
             self._membership,
@@ -145,7 +145,7 @@
             [(host, int(port)) for host, port in seeds],
             self._counters,
         )
-        self._handler.set_gossip_task(self._member)
+        self._handler.set_gossip_task(self._gossip_task)
         self._rules_poller = RulesPoller(
             self._clock,
             self._random,
@@ -155,7 +155,7 @@
             self._platform,
             settings.rules,
             self._counters,
-            lambda: self._member.newest_rules,
+            lambda: self._gossip_task.newest_rules,
             self._membership.schedule_push,
         )
         self._metrics = Metrics(
@@ -167,7 +167,7 @@
             settings.telemetry.otlp_endpoint,
             settings.telemetry.export_interval,
         )
-        self._create_edge()
+        self._create_call_server()
         self._fleet = FleetView(self._membership, self._pool, self._rules, self._burn)
         self._admin = Admin(
             self._rules,
@@ -180,7 +180,7 @@
             self._rules_poller.read_soon,
         )
 
-    def _create_edge(self) -> None:
+    def _create_call_server(self) -> None:
         settings = self._settings
         threshold_cache = ThresholdCache(self._clock)
         directory = InstanceDirectory(self._clock, self._random, self._membership)
@@ -190,7 +190,7 @@
             self._membership,
             directory,
             self._pool,
-            self._guard,
+            self._call_gate,
             threshold_cache,
             epochs,
         )
@@ -198,11 +198,11 @@
             self._mint,
             directory,
             self._pool,
-            self._guard,
+            self._call_gate,
             self._membership.me.name,
             epochs,
         )
-        self._ingress = CallIngress(
+        self._call_ingress = CallIngress(
             self._clock,
             self._random,
             settings.data_centre,
@@ -210,7 +210,7 @@
             self._rules,
             directory,
             dispatcher,
-            self._guard,
+            self._call_gate,
             threshold_cache,
             self._mint,
             self._counters,
@@ -218,16 +218,16 @@
             issuer,
             KeyAssigner(self._platform) if self._platform else None,
         )
-        self._edge = CallServer(
+        self._call_server = CallServer(
             self._clock,
             self._random,
-            self._ingress,
+            self._call_ingress,
             settings.limits,
             self._counters,
             self._metrics,
         )
 
-    def _make_link(self, connecting: bool) -> PeerLink:
+    def _create_link(self, connecting: bool) -> PeerLink:
         return PeerLink(
             self._clock,
             self._key,
@@ -243,16 +243,16 @@
         host = str(settings.host)
         loop = asyncio.get_running_loop()
         self._peer_listener = await loop.create_server(
-            lambda: self._make_link(connecting=False), host, settings.peer_port
+            lambda: self._create_link(connecting=False), host, settings.peer_port
         )
-        await self._member.start(host, settings.gossip_port)
-        await self._edge.start(host, settings.edge_port)
+        await self._gossip_task.start(host, settings.gossip_port)
+        await self._call_server.start(host, settings.edge_port)
         await self._admin.start(host, settings.admin_port)
 
     async def _tick_forever(self) -> None:
         while True:
-            self._guard.tick()
-            self._member.tick()
+            self._call_gate.tick()
+            self._gossip_task.tick()
             self._rules_poller.tick()
             self._pool.heartbeat()
             self._check_upstream_alive()
@@ -260,13 +260,13 @@
             await asyncio.sleep(_TICK_SECONDS)
 
     async def _drain(self) -> int:
-        log_change("draining", busy=self._guard.outstanding)
-        self._member.leave()
-        self._guard.drain()
+        log_change("draining", busy=self._call_gate.outstanding)
+        self._gossip_task.leave()
+        self._call_gate.drain()
         # Other nodes must learn of the leaving first.  Calls that they send until
         # then are refused as not run, and they retry them at another instance.
         await asyncio.sleep(_LEAVE_PROPAGATION)
-        self._edge.drain()
+        self._call_server.drain()
         stop = asyncio.ensure_future(self._stop_now.wait())
         done = asyncio.ensure_future(self._finish_in_flight())
         limit = self._settings.drain_limit
@@ -277,20 +277,24 @@
         if done.done():
             return 0
         done.cancel()
-        log_change("cut_off", guard=self._guard.outstanding, edge=self._edge.in_flight)
+        log_change(
+            "cut_off",
+            guard=self._call_gate.outstanding,
+            edge=self._call_server.in_flight,
+        )
         return 1
 
     async def _finish_in_flight(self) -> None:
         while True:
-            await self._guard.wait_idle()
-            if self._edge.in_flight == 0:
+            await self._call_gate.wait_idle()
+            if self._call_server.in_flight == 0:
                 return
             await asyncio.sleep(0.02)
 
     async def _stop(self) -> None:
         self._rules_poller.close()
-        self._member.close()
-        await self._edge.stop()
+        self._gossip_task.close()
+        await self._call_server.stop()
         await self._admin.stop()
         self._peer_listener.close()
         self._pool.close()
@@ -310,7 +314,7 @@
             self.drain()
             return
         self._announced_at = self._clock.now()
-        self._guard.admission.limit.set_slots(announcement.slots)
+        self._call_gate.admission.limit.set_slots(announcement.slots)
         if self._upstream_url != announcement.url or self._upstream is None:
             self._replace_upstream(announcement)
         if me.slots != announcement.slots or not me.ready:
@@ -321,8 +325,8 @@
         self._upstream = UpstreamClient(
             announcement.url, announcement.connections, self._settings.limits.body
         )
-        self._guard.attach(self._upstream)
-        self._guard.admission.limit.restart_warmup()
+        self._call_gate.attach(self._upstream)
+        self._call_gate.admission.limit.restart_warmup()
         log_change("upstream_announced", url=announcement.url)
         if old is not None:
             # Requests in flight on the old connections can still finish.
@@ -333,13 +337,13 @@
         me = self._membership.me
         if self._settings.upstream is not None and me.ready:
             silence = self._clock.now() - self._announced_at
-            refused = self._guard.consecutive_refusals
+            refused = self._call_gate.consecutive_refusals
             upstream_down = refused >= _MAX_REFUSED
             if upstream_down or silence > self._settings.upstream.announce_timeout:
                 # Calls sent here would only cost a retry at another instance.  The
                 # next announcement attaches the upstream again.
                 self._membership.update_me(ready=False)
-                self._guard.attach(None)
+                self._call_gate.attach(None)
                 self._upstream_url = ""
                 log_change("upstream_gone", quiet=round(silence, 1), refused=refused)
 
@@ -348,20 +352,20 @@
         return {"node": me.name, "service": me.service, "data_centre": me.data_centre}
 
     def _gauges(self) -> dict[str, float]:
-        admission = self._guard.admission
+        admission = self._call_gate.admission
         return {
             "admission.running": admission.running,
             "admission.waiting": admission.waiting,
             "admission.limit": admission.limit.current,
             "admission.cut": admission.threshold,
             "admission.slowdown": admission.limit.slowdown,
-            "edge.in_flight": self._edge.in_flight,
-            "keys.remembered": self._guard.key_registry.key_count,
+            "edge.in_flight": self._call_server.in_flight,
+            "keys.remembered": self._call_gate.key_registry.key_count,
             "members.present": len(self._membership.present()),
             "peers.connected": self._pool.connected,
             "peers.silent": self._pool.silent_closed,
             "rules.revision": self._rules.revision,
-            "gossip.sent_bytes": self._member.sent_bytes,
+            "gossip.sent_bytes": self._gossip_task.sent_bytes,
         }
 
     def _status(self) -> dict:
@@ -370,7 +374,7 @@
             "revision": self._rules.revision,
             "ready": self._rules.ready,
             "draining": self._draining.is_set(),
-            "upstream": self._upstream_url if self._guard.has_upstream else None,
+            "upstream": self._upstream_url if self._call_gate.has_upstream else None,
             "state": self._gauges(),
             "counters": self._counters.snapshot(),
             "platform": dict(self._platform.asked) if self._platform else {},
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -35,7 +35,7 @@
 
     clock : Clock
         Source of the current time.
-    guard : CallGate
+    call_gate : CallGate
         Runs calls at this node's upstream.
     rules : RevisionState
         The rules in force.
@@ -48,14 +48,14 @@
     def __init__(
         self,
         clock: Clock,
-        guard: CallGate,
+        call_gate: CallGate,
         rules: RevisionState,
         burn: BurnMeter,
         counters: Counters,
     ) -> None:
         super().__init__(rules, counters)
         self._clock = clock
-        self._guard = guard
+        self._call_gate = call_gate
         self._burn = burn
 
     def on_call(self, link: PeerLink, call: Call) -> None:
@@ -76,7 +76,7 @@
         """Fence calls or a key and reply with the verdicts."""
         self._counters.events["fences"] += 1
         if isinstance(fence, FenceKey):
-            verdicts = [self._guard.fence_key(fence.key)]
+            verdicts = [self._call_gate.fence_key(fence.key)]
         else:
             verdicts = self.fence_connection(fence)
         link.send(FenceReply(fence.number, [int(verdict) for verdict in verdicts]))
@@ -86,8 +86,8 @@
         link.send(BurnReply(request.number, self._burn.totals()))
 
     def on_epoch(self, link: PeerLink, request: EpochRequest) -> None:
-        """Reply with the current key epoch of the guard."""
-        link.send(EpochReply(request.number, self._guard.key_registry.epoch))
+        """Reply with the current key epoch of the call gate."""
+        link.send(EpochReply(request.number, self._call_gate.key_registry.epoch))
 
     def on_closed(self, link: PeerLink) -> None:
         """Cancel the calls of a closed connection."""
@@ -117,7 +117,7 @@
             may_hand_over,
         )
         try:
-            result = await self._guard.run(request)
+            result = await self._call_gate.run(request)
             link.send(self._reply(call, result))
         except asyncio.CancelledError:
             # The sender has cancelled the call or its connection is closed; no
@@ -137,6 +137,6 @@
             result.unused_attempts,
             result.retry_elsewhere,
             int(result.retry_after * 1000),
-            self._guard.threshold(call.operation),
-            self._guard.key_registry.epoch,
+            self._call_gate.threshold(call.operation),
+            self._call_gate.key_registry.epoch,
         )
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -218,7 +218,7 @@
             self._counters,
         )
         self._pool = PeerPool(
-            lambda: self._make_link(connecting=True), self._clock, _SILENCE_LIMIT
+            lambda: self._create_link(connecting=True), self._clock, _SILENCE_LIMIT
         )
 
     def _create_tasks(self) -> None:
@@ -340,7 +340,7 @@
             ),
         )
 
-    def _make_link(self, connecting: bool) -> PeerLink:
+    def _create_link(self, connecting: bool) -> PeerLink:
         return PeerLink(
             self._clock,
             self._settings.fleet_key,
@@ -355,7 +355,7 @@
         host, port = self._settings.peers
         loop = asyncio.get_running_loop()
         self._peer_listener = await loop.create_server(
-            lambda: self._make_link(connecting=False), host, port
+            lambda: self._create_link(connecting=False), host, port
         )
         await self._gossip_task.start(host, port)
         for (server_host, server_port), server in self._servers:
--- a/packages/rattanfork-node/rattanfork_node/http1/exchange.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/exchange.py
@@ -21,13 +21,13 @@
         Path and query as sent by the client.
     host : str
         Value of the Host header in lower case, without the port.
-    block : bytes
+    header_block : bytes
         Header lines to forward, each ending in CRLF.
     body : bytes
         Request body.
     request_id : bytes
         Request ID sent by the client; empty without one.
-    wait : float or None
+    client_timeout : float or None
         Seconds for which the client waits for the response; None if not stated.
     keep_alive : bool
         Whether the connection stays open after the response.
@@ -37,11 +37,13 @@
 
     __slots__ = (
         "account",
+        "account_delay",
         "answered",
-        "header_block",
         "body",
+        "client_timeout",
         "connection",
         "granted_at",
+        "header_block",
         "host",
         "keep_alive",
         "keys",
@@ -50,8 +52,6 @@
         "output",
         "request_id",
         "target",
-        "client_timeout",
-        "account_delay",
     )
 
     def __init__(
@@ -60,10 +60,10 @@
         method: bytes,
         target: bytes,
         host: str,
-        block: bytes,
+        header_block: bytes,
         body: bytes,
         request_id: bytes,
-        wait: float | None,
+        client_timeout: float | None,
         keep_alive: bool,
         keys: tuple[bytes, ...] = (),
     ) -> None:
@@ -71,10 +71,10 @@
         self.method = method
         self.target = target
         self.host = host
-        self.header_block = block
+        self.header_block = header_block
         self.body = body
         self.request_id = request_id
-        self.client_timeout = wait
+        self.client_timeout = client_timeout
         self.keep_alive = keep_alive
         self.keys = keys
         #: Client account that sent the request; None before authentication and for
--- a/packages/rattanfork-node/rattanfork_node/http1/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/upstream.py
@@ -115,7 +115,7 @@
             The whole request.
         request_id : bytes
             ID that the response must echo if it has the header.
-        done : callable
+        on_response : callable
             Called once, with the complete response, or None if the connection
             closed before.
         """
--- a/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/request_log.py
@@ -61,7 +61,10 @@
         self._writer.write(fields)
 
     def take_left_out(self) -> dict[str, int]:
-        """Return and reset the numbers of lines left out, by kind."""
+        """Return the lines left out since the last call, by kind.
+
+        ``unread`` counts the lines that the writer dropped since the start.
+        """
         left_out = self._budget.take_omitted()
         if self._writer.dropped:
             left_out["unread"] = self._writer.dropped
--- a/packages/rattanfork-node/rattanfork_node/telemetry/writer.py
+++ b/packages/rattanfork-node/rattanfork_node/telemetry/writer.py
@@ -68,7 +68,8 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader has closed the pipe; the node keeps serving without a log.
+            # The descriptor can't be written, such as after the reader closed the
+            # pipe; the node keeps serving requests without a log.
             self._dropped += len(self._buffer)
             written = len(data)
         unwritten = data[written:]
