--- a/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -31,7 +31,7 @@
         Proof that the configuration in force is recent enough to accept keys.
     membership : Membership
         Members of the fleet.
-    member_task : GossipTask
+    gossip_task : GossipTask
         Sends and receives the datagrams of the quota protocol.
     store : StoreTasks
         Renews the lease and knows whether this node has joined the fleet.
@@ -46,7 +46,7 @@
         configuration: ConfigurationHolder,
         lease: ConfigurationLease,
         membership: Membership,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         store: StoreTasks,
         counters: Counters,
     ) -> None:
@@ -59,7 +59,7 @@
             clock,
             random,
             membership,
-            member_task,
+            gossip_task,
             settings.quota,
             self._account_index,
             lambda: store.joined,
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -89,7 +89,7 @@
         upstream = settings.upstream
         self._key = key
         self._rules = RevisionState(settings.rules.data_centres_needed)
-        self._mint = TicketIssuer(key, SystemRandom())
+        self._ticket_issuer = TicketIssuer(key, SystemRandom())
         me = Member(
             settings.instance,
             boot,
@@ -109,7 +109,7 @@
             self._clock,
             settings.instance,
             boot,
-            self._mint,
+            self._ticket_issuer,
             AdmissionSettings(
                 slots=upstream.slots if upstream else 1,
                 retry_after=settings.requests.retry_after,
@@ -195,7 +195,7 @@
             epochs,
         )
         issuer = KeyIssuer(
-            self._mint,
+            self._ticket_issuer,
             directory,
             self._pool,
             self._call_gate,
@@ -212,7 +212,7 @@
             dispatcher,
             self._call_gate,
             threshold_cache,
-            self._mint,
+            self._ticket_issuer,
             self._counters,
             self._burn,
             issuer,
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -48,7 +48,7 @@
         The rules in force.
     membership : Membership
         Members of the fleet.
-    member_task : GossipTask
+    gossip_task : GossipTask
         Exchanges versions of configuration and rules with other nodes.
     pool : PeerPool
         Connections to other nodes.
@@ -71,7 +71,7 @@
         configuration: ConfigurationHolder,
         rules: RevisionState,
         membership: Membership,
-        member_task: GossipTask,
+        gossip_task: GossipTask,
         pool: PeerPool,
         counters: Counters,
         on_quarantine: Callable[[object], None],
@@ -81,7 +81,7 @@
         self._configuration = configuration
         self._rules = rules
         roster = RoleAssignment(membership, "confirmation", _READERS_PER_DATA_CENTRE)
-        self._join = JoinTask(random, platform, membership, member_task, on_quarantine)
+        self._join = JoinTask(random, platform, membership, gossip_task, on_quarantine)
         self._configuration_task = ConfigurationTask(
             clock,
             random,
@@ -89,7 +89,7 @@
             platform,
             *row,
             membership,
-            member_task,
+            gossip_task,
             pool,
             counters,
             lambda: roster.includes_self,
@@ -102,15 +102,15 @@
             membership,
             pool,
             counters,
-            lambda: member_task.newest_rules,
-            lambda: member_task.rules_source,
+            lambda: gossip_task.newest_rules,
+            lambda: gossip_task.rules_source,
             lambda: roster.includes_self,
         )
         self._confirmation = ConfirmationTask(
             random,
             ConfirmationSchedule(BootTimeClock(), random),
             roster,
-            member_task,
+            gossip_task,
             (self._configuration_task, self._rules_watcher),
             counters,
         )
@@ -121,14 +121,14 @@
             configuration,
             membership,
             roster,
-            member_task,
+            gossip_task,
             self._confirmation.confirm_soon,
         )
         self._restore = RestoreTask(
             random, platform, roster, membership, rules, persist_quarantine, counters
         )
         membership.cached_versions = self._cached_versions
-        member_task.on_cached_versions = self._confirmation.on_cached_versions
+        gossip_task.on_cached_versions = self._confirmation.on_cached_versions
 
     @property
     def joined(self) -> bool:
