--- a/bench/surge.py
+++ b/bench/surge.py
@@ -57,11 +57,13 @@
 """
 
 
-def load(total: float, blind: bool) -> list[LoadSpec]:
+def load(total: float, retry_unsafe: bool) -> list[LoadSpec]:
     """Return the load of all callers for a total rate in requests per second."""
     common = {"timeout": TIMEOUT_S, "attempt_timeout": ATTEMPT_TIMEOUT_S, "retries": 3}
     return [
-        LoadSpec("file", "claims/file", 8, method="POST", retry_unsafe=blind, **common),
+        LoadSpec(
+            "file", "claims/file", 8, method="POST", retry_unsafe=retry_unsafe, **common
+        ),
         LoadSpec("view", "claims/view", 12, **common),
         LoadSpec("browse", "receipts/browse", total - 20, **common),
     ]
@@ -92,7 +94,7 @@
     cluster: Cluster
     seed: int
     results: dict = field(default_factory=dict)
-    seen: dict = field(default_factory=dict)
+    previous_counts: dict = field(default_factory=dict)
 
     def bottleneck_nodes(self) -> list:
         """Return the instances of the bottleneck service."""
@@ -130,17 +132,17 @@
         )
         total = Counter(int(r["at"] - began) for r in runs)
         print("wasted/runs by second", [(k, waste[k], total[k]) for k in sorted(total)])
-        new: dict = {}
+        current_counts: dict = {}
         for node in self.cluster.nodes:
             status = await self.cluster.get(f"{node.admin}/status")
             for kind, counts in status["counters"].items():
                 for name, n in counts.items():
                     key = (node.service, kind, name)
-                    new[key] = new.get(key, 0) + n
-        for key, n in sorted(new.items()):
-            if n != self.seen.get(key, 0):
-                print("   ", *key, n - self.seen.get(key, 0))
-        self.seen = new
+                    current_counts[key] = current_counts.get(key, 0) + n
+        for key, n in sorted(current_counts.items()):
+            if n != self.previous_counts.get(key, 0):
+                print("   ", *key, n - self.previous_counts.get(key, 0))
+        self.previous_counts = current_counts
 
     async def _fetch_ledgers(self) -> tuple[list[dict], int]:
         runs, arrived = [], 0
--- a/packages/rattanfork-soak/rattanfork_soak/__init__.py
+++ b/packages/rattanfork-soak/rattanfork_soak/__init__.py
@@ -1,6 +1,6 @@
 """Randomized soak test: node processes under load with injected faults.
 
-Clients and workers record what they saw, and checks compare that with the promises
+Clients and workers record what they saw, and checks compare that with the invariants
 of the product.
 """
 
--- a/packages/rattanfork-soak/rattanfork_soak/__main__.py
+++ b/packages/rattanfork-soak/rattanfork_soak/__main__.py
@@ -30,7 +30,7 @@
         int, typer.Option(help="Number of soaks to run at once.")
     ] = 1,
 ) -> None:
-    """Run soaks; exit status 1 if any promise was violated.
+    """Run soaks; exit status 1 if any invariant was violated.
 
     The logs and the fault plan of each seed with violations are kept.
 
--- a/packages/rattanfork-soak/rattanfork_soak/checks.py
+++ b/packages/rattanfork-soak/rattanfork_soak/checks.py
@@ -1,6 +1,6 @@
-"""Checks the product's promises against the records of clients and workers.
+"""Checks the product's invariants against the records of clients and workers.
 
-The promises, by the short names that violations carry:
+The invariants, by the short names that violations carry:
 
 - ``twice``: a non-idempotent request runs at most once.
 - ``refused``: a request whose status says that it did not run, did not run.
@@ -44,7 +44,7 @@
 
 
 class Checks:
-    """Collects violations of promises.
+    """Collects violations of invariants.
 
     Parameters
     ==========
@@ -98,7 +98,7 @@
         if 200 <= status < 300:
             self._newest[pid] = max(version, self._newest.get(pid, 0))
         elif status == 404 and version <= self._newest.get(pid, 0):
-            text = f"process {pid} knew version {self._newest[pid]}, forgot {version}"
+            text = f"process {pid} had version {self._newest[pid]}, lost {version}"
             self._add_violation("configuration", at, text)
 
     def review(self) -> None:
--- a/packages/rattanfork-soak/rattanfork_soak/tests/test_checks.py
+++ b/packages/rattanfork-soak/rattanfork_soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check reports violations of its promise and accepts allowed cases."""
+"""Each check reports violations of its invariant and accepts allowed cases."""
 
 from random import Random
 
--- a/packages/rattanfork-soak/rattanfork_soak/violation.py
+++ b/packages/rattanfork-soak/rattanfork_soak/violation.py
@@ -5,13 +5,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """Observed violation of one of the product's promises.
+    """Observed violation of one of the product's invariants.
 
     Parameters
     ==========
 
-    promise : str
-        Short name of the promise, as listed in :mod:`rattanfork_soak.checks`.
+    invariant : str
+        Short name of the invariant, as listed in :mod:`rattanfork_soak.checks`.
     at : float
         Seconds from the start of the soak.
     text : str
--- a/packages/rattanfork-soak/rattanfork_soak/worker.py
+++ b/packages/rattanfork-soak/rattanfork_soak/worker.py
@@ -50,9 +50,11 @@
     request_id: str
     at: float
     incarnation: str
+    #: Method, path and body, in the form of ``Record.text``.
     fingerprint: str
     #: Client account in the request's header.
     account: str = ACCOUNT_NAME
+    #: Whether the request still carried the client key.
     has_key: bool = False
 
 
