--- a/packages/rattanfork-core/rattanfork_core/request/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/request/__init__.py
@@ -1,4 +1,4 @@
-"""A request at the node that takes it: rank, attempts, and outcome."""
+"""State of a request at the node that received it: rank, attempts and outcome."""
 
 from rattanfork_core.request.attempt import Attempt, AttemptState
 from rattanfork_core.request.commands import (
@@ -35,9 +35,9 @@
     "SendCancel",
     "SendFence",
     "format_fingerprint",
+    "jittered_retry_after",
     "rank_of_call",
-    "request_tiebreak",
     "request_fingerprint",
     "request_rank",
-    "jittered_retry_after",
+    "request_tiebreak",
 ]
--- a/packages/rattanfork-core/rattanfork_core/request/attempt.py
+++ b/packages/rattanfork-core/rattanfork_core/request/attempt.py
@@ -8,7 +8,8 @@
     """State of an attempt, as its sender knows it."""
 
     SENT = 0
-    #: Its connection was lost, and the guard has been asked to refuse it for good.
+    #: Its connection was lost, and a fence was sent to the guard, the node beside the
+    #: upstream, which is to refuse the attempt from then on.
     FENCING = 1
     #: Proved not to have run, nor to run later.
     NOT_RUN = 2
@@ -29,7 +30,7 @@
     instance : str
         Instance that it is sent to.
     delegated_attempts : int
-        Extra attempts that the instance may spend on calls of its own.
+        Extra attempts that the run may spend on its downstream calls.
     state : AttemptState
         What the sender knows of the attempt.
     """
--- a/packages/rattanfork-core/rattanfork_core/request/commands.py
+++ b/packages/rattanfork-core/rattanfork_core/request/commands.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
-    """Send the request to an instance, with a number of extra attempts to spend."""
+    """Send the request to an instance, with extra attempts for downstream calls."""
 
     attempt: int
     instance: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCancel:
-    """Tell an instance to cancel an attempt."""
+    """Send an instance the cancellation of an attempt."""
 
     attempt: int
     instance: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFence:
-    """Ask an instance, over a new connection, to never run an attempt from now on."""
+    """Send a fence over a new connection: the instance must not run the attempt."""
 
     attempt: int
     instance: str
--- a/packages/rattanfork-core/rattanfork_core/request/outcome.py
+++ b/packages/rattanfork-core/rattanfork_core/request/outcome.py
@@ -38,7 +38,7 @@
     LIMIT = 5
     #: No instance of the service is known.
     NO_INSTANCE = 6
-    #: The instance is draining and takes no new requests.
+    #: The instance is draining and accepts no new requests.
     LEAVING = 7
     #: The instance has restarted since the sender's last information about it.
     STALE_INSTANCE = 8
@@ -60,7 +60,8 @@
     ANSWER_DROPPED = 16
     #: The node has not received its rules yet.
     NOT_READY = 17
-    #: The platform's table, which this kind of key needs, does not respond.
+    #: The platform's table, which assigns caller-chosen idempotency keys, does not
+    #: respond.
     STORE_DOWN = 18
     #: The request is malformed.
     BAD_REQUEST = 19
@@ -74,7 +75,7 @@
     UPSTREAM_FAILED = 23
     #: No route matches the request.
     NO_ROUTE = 24
-    #: The request has arrived here before, and the gate grants it no repeat.
+    #: The gate has received the request before, and its retry budget grants no retry.
     NO_REPEAT = 25
     #: Upstreams that ran the request have crashed, so it is not sent to others.
     QUARANTINED = 26
--- a/packages/rattanfork-core/rattanfork_core/request/progress.py
+++ b/packages/rattanfork-core/rattanfork_core/request/progress.py
@@ -1,4 +1,7 @@
-"""Rank of the calls of a run, by the calls that have already succeeded for it."""
+"""Rank of the calls of a run, by the number of its calls that have succeeded.
+
+A *run* is the execution of a request at an upstream.
+"""
 
 from math import floor
 
--- a/packages/rattanfork-core/rattanfork_core/request/result.py
+++ b/packages/rattanfork-core/rattanfork_core/request/result.py
@@ -1,4 +1,4 @@
-"""Result of an attempt, as its guard reports it."""
+"""Result of an attempt, and reply to a fence, as reported by the guard."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -38,7 +38,7 @@
         Headers of the upstream's response as raw lines that end in CRLF, where they
         are forwarded unparsed.
     unused_attempts : int
-        Extra attempts that were lent with the call and not spent.
+        Extra attempts that were delegated with the call and not spent.
     retry_elsewhere : bool
         Whether a retry at another instance may succeed.
     retry_after : float
--- a/packages/rattanfork-core/rattanfork_core/request/retry_after.py
+++ b/packages/rattanfork-core/rattanfork_core/request/retry_after.py
@@ -1,4 +1,4 @@
-"""``Retry-After`` of refused requests, with jitter."""
+"""``Retry-After`` of refused requests, with jitter and by rank."""
 
 from random import Random
 
--- a/packages/rattanfork-core/rattanfork_core/request/state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/state_machine.py
@@ -18,7 +18,8 @@
 InstancePicker = Callable[[frozenset[str]], str | None]
 
 
-#: Refusals after which a retry costs nothing: no upstream has started the attempt.
+#: Refusals that prove that no upstream has started the attempt.  The retry may be
+#: free of charge.
 _NOT_STARTED = frozenset((Reason.UPSTREAM_SHED, Reason.NO_REPEAT))
 
 
@@ -32,7 +33,8 @@
     commands that it returns.  It sends at most one attempt at a time.
 
     An attempt whose connection is lost is *fenced*: the guard (the node beside the
-    upstream) is asked, over another connection, to refuse the attempt from then on.
+    upstream) receives a fence over another connection, and refuses the attempt from
+    then on.
     A lost attempt counts as "not run" only if the guard confirms it; otherwise the
     outcome of a request that is not idempotent is unknown.  The lost connection
     itself proves nothing: the attempt may be in the receive buffer of a paused
@@ -55,8 +57,8 @@
         one.  Called last, when all other conditions for a retry hold.
     free_retries : int
         Retries, after an upstream has refused an attempt without running it, that
-        are not charged to the budget.  The budget bounds how often a request may
-        run, ``may_retry`` how often it is sent.
+        are not charged to ``budget``, which bounds how often the request may run;
+        ``may_retry`` bounds how often it is sent.
 
     Examples
     ========
@@ -101,7 +103,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the final result was returned."""
+        """Whether the final result has been returned."""
         return self._finished
 
     @property
@@ -241,7 +243,7 @@
         no_answer = result.outcome is Outcome.UNKNOWN and not result.status
         if no_answer and self._upstream_failure is not None:
             # An earlier attempt got an error response from its upstream, and the
-            # last one got none: the error tells the caller more than "unknown".
+            # last one got none: the error is more specific than an unknown outcome.
             result = self._upstream_failure
         # These callables refer to the driver, which refers to this object.  The
         # cycle would keep each request and its body until the next garbage
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_progress.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_progress.py
@@ -21,8 +21,8 @@
 ) -> float:
     """Return the fraction of served calls that belong to runs that failed later.
 
-    The service takes ``capacity[0]`` calls a step and ``capacity[1]`` calls a step, by
-    turns of four steps.
+    The service takes ``capacity[0]`` or ``capacity[1]`` calls a step, alternating every
+    four steps.
     """
     random = Random(1)
     running: list[tuple[float, int]] = []
--- a/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tests/test_state_machine.py
@@ -24,8 +24,8 @@
     def pick(avoid):
         return next((i for i in INSTANCES if i not in avoid), None)
 
-    account = RequestBudget(ManualClock(), 9.0, attempts)
-    return RequestStateMachine(account, idempotent, pick, pinned)
+    budget = RequestBudget(ManualClock(), 9.0, attempts)
+    return RequestStateMachine(budget, idempotent, pick, pinned)
 
 
 def shed_result() -> CallResult:
@@ -89,14 +89,14 @@
 
 
 def test_request_without_any_instance_is_not_run():
-    account = RequestBudget(ManualClock(), 9.0, 2)
-    request = RequestStateMachine(account, False, lambda avoid: None)
+    budget = RequestBudget(ManualClock(), 9.0, 2)
+    request = RequestStateMachine(budget, False, lambda avoid: None)
     [finish] = request.start()
     assert finish.result.outcome is Outcome.NOT_RUN
 
 
 def test_outcome_is_unknown_if_one_attempt_was_lost():
-    # The first attempt may have run; the refusal of the second proves nothing of it.
+    # The first attempt may have run; the refusal of the second proves nothing about it.
     request = machine()
     request.start()
     request.on_connection_lost(1)
@@ -153,7 +153,7 @@
     """Guards against giving up on upstreams that refuse every second request.
 
     A retry after such a refusal runs nothing twice, while giving up would waste the
-    work done for the request at the services above.
+    work done for the request at the services earlier in the call chain.
     """
     machine = RequestStateMachine(
         RequestBudget(ManualClock(), deadline=9.0, attempts=0),
--- a/packages/rattanfork-core/rattanfork_core/request/tiebreak.py
+++ b/packages/rattanfork-core/rattanfork_core/request/tiebreak.py
@@ -7,7 +7,7 @@
 
 
 def request_tiebreak(request_id: str) -> float:
-    """Return the place of a request among those of its importance.
+    """Return the position of a request among those of its importance.
 
     A number in ``[0, 1)`` that is a hash of the request ID alone.
 
