--- a/packages/rattanfork-core/rattanfork_core/routes/configuration.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/configuration.py
@@ -17,7 +17,7 @@
     probe_path : str
         Path of the health probe.
     connections : int
-        Most connections to each of its upstreams.
+        Maximum number of connections to each of its upstreams.
     """
 
     probe_path: str = "/health"
@@ -40,8 +40,8 @@
     max_head_bytes, max_body_bytes : int
         Largest size of a request's head and body.
     head_timeout, idle_timeout : float
-        Seconds that a client may take to send a request's head, and stay idle between
-        requests.
+        Seconds within which a client has to send a request's head, and for which its
+        connection may be idle between requests.
     accounts : AccountIndex or None
         The client accounts; None if requests carry no API keys.
     table : RouteTable
--- a/packages/rattanfork-core/rattanfork_core/routes/round_robin.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/round_robin.py
@@ -13,7 +13,7 @@
 
     Smooth weighted round robin keeps each service within a few requests of its exact
     proportion.  Random selection reaches the proportion only in the long run: of 200
-    requests, a service with 0.1 of the weight often gets a third too many or too few.
+    requests, a service with 0.1 of the weight often gets a third more or fewer.
 
     Examples
     ========
--- a/packages/rattanfork-core/rattanfork_core/routes/route.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/route.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that gets a weighted part of a route's requests.
+    """A service that receives a weighted part of a route's requests.
 
     Parameters
     ==========
@@ -40,7 +40,7 @@
     idempotent : bool
         Whether a request may be run more than once.
     timeout : float
-        Seconds within which the caller has to get its response.
+        Seconds within which the response has to reach the caller.
     target_latency : float
         Latency objective of responses, in seconds.
     priority : int
--- a/packages/rattanfork-core/rattanfork_core/routes/table.py
+++ b/packages/rattanfork-core/rattanfork_core/routes/table.py
@@ -4,7 +4,7 @@
 
 from rattanfork_core.routes.route import Route
 
-#: Most lookups kept in the cache; it is cleared when full.
+#: Maximum number of cached lookups; the cache is cleared when full.
 _MAX_CACHED = 4096
 
 
