--- a/packages/rattanfork-core/rattanfork_core/routing/instance.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/instance.py
@@ -119,7 +119,7 @@
         self.sent_at_sum += now
 
     def on_inconclusive(self, sent_at: float) -> None:
-        """Record the end of a call that shows nothing about the instance."""
+        """Record the end of a call that is no evidence of the instance's health."""
         self.in_flight = max(0, self.in_flight - 1)
         self.sent_at_sum = self.sent_at_sum - sent_at if self.in_flight else 0.0
 
--- a/packages/rattanfork-core/rattanfork_core/routing/picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/picker.py
@@ -9,13 +9,13 @@
 from rattanfork_core.routing.subset import choose_subset
 
 #: Latency in seconds assumed of an instance without a reply so far.
-_UNKNOWN_LATENCY = 0.01
+_UNKNOWN_LATENCY_SECONDS = 0.01
 #: Factor on the score of an instance in another data centre.
 _REMOTE_FACTOR = 1.5
 #: Lower bound of the divisor that raises the score of a new instance.
 _MIN_WARMUP_SHARE = 0.1
-#: Factor on the score of an instance whose upstream is impaired.  It applies once the
-#: others have no room; until then such an instance is excluded.
+#: Factor on the score of an instance whose upstream is impaired.  It applies only
+#: if the others have no spare capacity; until then such an instance is excluded.
 _IMPAIRED_FACTOR = 4.0
 #: Latency, as a multiple of the fastest instance's, above which an instance is not
 #: preferred for being local.  Healthy instances of one service differ by up to 2.5.
@@ -28,9 +28,9 @@
 #: other data centres, whose traffic cost more than the avoided time-outs.
 _TIMEOUT_MEANS = 3.0
 #: Seconds for which the latency of an operation at an instance is used.  Afterwards
-#: each node tries an instance again that was slow.
-_LATENCY_MAX_AGE = 5.0
-#: Load below which an instance has room for calls that avoid others.
+#: each node sends calls to a slow instance again.
+_LATENCY_MAX_AGE_SECONDS = 5.0
+#: Load below which an instance has spare capacity for calls diverted from others.
 _MAX_LOAD = 0.7
 #: Latency, as a multiple of the fastest instance's, up to which an instance counts as
 #: equally fast.
@@ -169,11 +169,11 @@
         return self._pick_two(candidates).name
 
     def _unimpaired(self, candidates: list[InstanceState]) -> list[InstanceState]:
-        """Return the instances that are not impaired and have room.
+        """Return the unimpaired instances with spare capacity.
 
         If there are none, the caller considers all candidates: impaired instances are
-        avoided only while others have room.  Avoiding them always would move their load
-        to the others, and in a service with little spare capacity all would shed.
+        avoided only while others have spare capacity.  Avoiding them always would move
+        their load to the others, and in a service near its capacity all would shed.
         """
         now = self._clock.now()
         if all(s.impaired_until <= now for s in candidates):
@@ -187,17 +187,18 @@
 
         If the time-out is a few times the mean latency, several times as many calls
         time out at the slower instances of a service as at the faster ones, while the
-        faster ones have room.  With runs of very unequal duration it is one in 35 at an
-        instance 0.6 times as fast as the mean, and one in 630 at one 1.4 times as fast.
+        faster ones have spare capacity.  With runs of very unequal duration it is one
+        in 35 at an instance 0.6 times as fast as the mean, and one in 630 at one 1.4
+        times as fast.
 
         Only instances known to be slow are excluded, and only until their latency is
-        too old.  They get no probes before: where a node makes few calls, most of its
+        too old.  They are not probed before: where a node makes few calls, most of its
         calls would be probes.
         """
         max_mean = timeout / _TIMEOUT_MEANS
         now = self._clock.now()
         latencies = [
-            s.expected_operation_latency(operation, now, _LATENCY_MAX_AGE)
+            s.expected_operation_latency(operation, now, _LATENCY_MAX_AGE_SECONDS)
             for s in candidates
         ]
         if max(latencies) <= max_mean:
@@ -212,7 +213,7 @@
         return [s for s, latency in preferred if latency <= limit] or candidates
 
     def _local(self, candidates: list[InstanceState]) -> list[InstanceState]:
-        """Return the healthy instances of the own data centre that have room.
+        """Return the healthy local instances with spare capacity.
 
         A call to another data centre costs traffic and latency, and an instance with
         free slots is no faster for being less loaded.  If no local instance qualifies,
@@ -262,7 +263,7 @@
 
     def _score(self, state: InstanceState) -> float:
         now = self._clock.now()
-        latency = state.expected_latency(now) or _UNKNOWN_LATENCY
+        latency = state.expected_latency(now) or _UNKNOWN_LATENCY_SECONDS
         score = (state.in_flight + 1) * latency * (1.0 + 10.0 * state.failure_rate)
         if state.data_centre != self._data_centre:
             score *= _REMOTE_FACTOR
--- a/packages/rattanfork-core/rattanfork_core/routing/subset.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/subset.py
@@ -11,8 +11,8 @@
     Explanation
     ===========
 
-    The subset bounds the connections of a node, which would otherwise keep one to every
-    instance of every service that it calls.  With rendezvous hashing the subset changes
+    The subset bounds the connections of a node, which would otherwise keep one to each
+    instance of each service that it calls.  With rendezvous hashing the subset changes
     by at most one instance when one is added or removed, and each node has a different
     subset, so all instances get a similar share of the calls.
 
--- a/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
@@ -1,4 +1,4 @@
-"""Calls go to instances that are local, fast, warmed up and not failing."""
+"""Tests of the choice among instances by location, latency, load and failures."""
 
 from collections import Counter
 from random import Random
@@ -85,13 +85,13 @@
     return {picker.pick(frozenset()) for _ in range(50)}
 
 
-def test_local_instance_with_room_is_picked_although_it_is_slower():
+def test_local_instance_with_spare_capacity_is_picked_although_it_is_slower():
     near = InstanceState("near", "dc1", 10, latency=0.2, in_flight=3, sent_at_sum=300.0)
     far = InstanceState("far", "dc2", 10, latency=0.1)
     assert _picked(_make_local_picker(near, far)) == {"near"}
 
 
-def test_local_instance_without_room_is_compared_with_all():
+def test_local_instance_without_spare_capacity_is_compared_with_all():
     near = InstanceState("near", "dc1", 10, latency=0.2, busy=9)
     far = InstanceState("far", "dc2", 10, latency=0.1)
     near.in_flight = 5
@@ -177,7 +177,7 @@
 def timeout_and_remote_shares(use_timeout: bool) -> tuple[float, float]:
     """Simulate POST calls of very unequal duration that time out after 0.8 s.
 
-    Three instances are 0.6, 1.0 and 1.4 times as fast as the mean and have room.
+    Three instances are 0.6, 1.0 and 1.4 times as fast as the mean, with free slots.
     Return the shares of calls that timed out and that left the own data centre.
     """
     clock, random = ManualClock(100.0), Random(5)
@@ -215,7 +215,7 @@
     assert timeout_and_remote_shares(use_timeout=False)[1] < 0.05
 
 
-def test_instance_without_room_is_not_preferred_for_being_fast():
+def test_instance_without_spare_capacity_is_not_preferred_for_being_fast():
     clock = ManualClock(100.0)
     picker = InstancePicker("n1", "dc1", clock, Random(1))
     fast, slow = state("fast", slots=10), state("slow", slots=10)
@@ -268,7 +268,7 @@
     assert short["fast"] > 0.8 * 2600
 
 
-def test_impaired_instance_is_used_only_if_the_others_have_no_room():
+def test_impaired_instance_is_used_only_if_others_have_no_spare_capacity():
     """One of four gates reports that its upstream has become slow.
 
     If it were always excluded, its load could fill the other three instances, and
