--- a/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/early_shedding.py
@@ -9,9 +9,9 @@
 #: rises each second, and seconds without a reply after which a request may probe it.
 #: Replies come many times a second while any request passes, so a threshold becomes
 #: stale only if none does.
-_FRESH = 0.4
-_RISE = 1.0
-_PROBE_AFTER = 0.2
+_FRESH_SECONDS = 0.4
+_RISE_PER_SECOND = 1.0
+_PROBE_AFTER_SECONDS = 0.2
 #: Bound on the instances listed in the explanation of a decision.
 _MAX_LISTED_INSTANCES = 8
 _NO_INSTANCES: frozenset[str] = frozenset()
@@ -45,7 +45,9 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._thresholds = ThresholdCache(clock, _FRESH, _RISE, _PROBE_AFTER)
+        self._thresholds = ThresholdCache(
+            clock, _FRESH_SECONDS, _RISE_PER_SECOND, _PROBE_AFTER_SECONDS
+        )
 
     def update(self, operation: str, instance: str, threshold: float) -> None:
         """Store the threshold that came with a reply."""
--- a/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/gate_reports.py
@@ -17,28 +17,29 @@
 #: and the bound keeps the traffic independent of the size of the service.
 MAX_REPORTERS = 16
 #: Share of a service's gates that have to shed a rank before an entry node sheds it:
-#: below that the other gates have room, and calls that one gate sheds succeed there.
+#: below that the other gates have spare capacity, and calls that one gate sheds
+#: succeed there.
 _MIN_SHEDDING_SHARE = 0.67
 #: Seconds for which a reported threshold is used unchanged: several times what a report
 #: takes to reach all of a fleet of thousands of nodes.
-_FRESH = 1.0
+_FRESH_SECONDS = 1.0
 #: Seconds for which a report of an impaired upstream holds.  Recovery is reported at
 #: once.
-_IMPAIRED_HOLD = 2.5
+_IMPAIRED_HOLD_SECONDS = 2.5
 #: Ranks by which a stale threshold rises each second: an entry node that receives no
 #: reports neither sheds for ever nor admits everything at once.
-_RISE = 1.0
+_RISE_PER_SECOND = 1.0
 #: Seconds after which any threshold has risen to all ranks, and its report is dropped.
-_EXPIRY = _FRESH + RANK_LIMIT / _RISE
+_EXPIRY_SECONDS = _FRESH_SECONDS + RANK_LIMIT / _RISE_PER_SECOND
 #: Seconds for which a gate continues to report after its last shedding or impairment.
-_REPORT_RECOVERY_FOR = 2.0
+_REPORT_RECOVERY_SECONDS = 2.0
 #: Age in seconds up to which a node forwards a report, and at how many ticks it does.
 #: Every node that receives a report does the same, so 3 ticks with 2 receivers each
 #: leave hardly any node out.
-_FORWARD_FOR = 1.0
+_FORWARD_SECONDS = 1.0
 _MAX_FORWARDS = 3
 #: Seconds after which a gate that sheds nothing repeats an unchanged report.
-_REPEAT_AFTER = 1.0
+_REPEAT_AFTER_SECONDS = 1.0
 #: Reports in one datagram, newest first, and reports stored.  If a third of a fleet is
 #: impaired, sending all reports in each datagram would cost more than the requests do.
 _MAX_REPORTS_PER_DATAGRAM = 16
@@ -130,7 +131,7 @@
 
     clock : Clock
         Source of the current time.
-    me : str
+    own_name : str
         Member name of this node.
 
     Examples
@@ -149,9 +150,9 @@
     (2.5, 0.0)
     """
 
-    def __init__(self, clock: Clock, me: str) -> None:
+    def __init__(self, clock: Clock, own_name: str) -> None:
         self._clock = clock
-        self._me = gate_hash(me)
+        self._own_gate = gate_hash(own_name)
         self._stored: dict[tuple[str, int], _StoredReport] = {}
         self._by_service: dict[str, dict[int, _StoredReport]] = {}
         self._sequence = 0
@@ -180,15 +181,17 @@
             self._last_abnormal_at = now
         if (
             self._last_abnormal_at is None
-            or now - self._last_abnormal_at > _REPORT_RECOVERY_FOR
+            or now - self._last_abnormal_at > _REPORT_RECOVERY_SECONDS
         ):
             return
-        last = self._stored.get((service, self._me))
+        last = self._stored.get((service, self._own_gate))
         if last is not None and _is_repetition(last, threshold, impaired, now):
             return
         self._sequence += 1
         self._store(
-            service, self._me, _StoredReport(self._sequence, threshold, impaired, now)
+            service,
+            self._own_gate,
+            _StoredReport(self._sequence, threshold, impaired, now),
         )
 
     def take_fresh(self) -> dict[str, list[GateReport]]:
@@ -205,7 +208,7 @@
             (now - stored.reported_at, key)
             for key, stored in self._stored.items()
             if stored.forwards < _MAX_FORWARDS
-            and now - stored.reported_at < _FORWARD_FOR
+            and now - stored.reported_at < _FORWARD_SECONDS
         )
         reports: dict[str, list[GateReport]] = {}
         for age, (service, gate) in fresh[:_MAX_REPORTS_PER_DATAGRAM]:
@@ -261,7 +264,7 @@
         stored = by_gate.get(gate_hash(name)) if by_gate else None
         if stored is None:
             return _OPEN, 0.0
-        until = stored.reported_at + _IMPAIRED_HOLD if stored.impaired else 0.0
+        until = stored.reported_at + _IMPAIRED_HOLD_SECONDS if stored.impaired else 0.0
         return _threshold_at(stored, self._clock.now()), until
 
     def _store(self, service: str, gate: int, stored: _StoredReport) -> None:
@@ -274,7 +277,7 @@
         expired = [
             key
             for key, stored in self._stored.items()
-            if now - stored.reported_at > _EXPIRY
+            if now - stored.reported_at > _EXPIRY_SECONDS
         ]
         for key in expired:
             self._drop(key)
@@ -298,8 +301,12 @@
 
 
 def _threshold_at(stored: _StoredReport, now: float) -> float:
-    stale_for = now - stored.reported_at - _FRESH
-    return stored.cut if stale_for <= 0 else min(_OPEN, stored.cut + stale_for * _RISE)
+    stale_for = now - stored.reported_at - _FRESH_SECONDS
+    return (
+        stored.cut
+        if stale_for <= 0
+        else min(_OPEN, stored.cut + stale_for * _RISE_PER_SECOND)
+    )
 
 
 def _is_repetition(
@@ -307,4 +314,4 @@
 ) -> bool:
     if threshold < _OPEN or stored.cut < _OPEN or stored.impaired != impaired:
         return False
-    return now - stored.reported_at < _REPEAT_AFTER
+    return now - stored.reported_at < _REPEAT_AFTER_SECONDS
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -204,7 +204,7 @@
 
 
 class Node:
-    """State by which one node makes its decisions."""
+    """A node: the state that its decisions depend on."""
 
     def __init__(self, simulation: "OverloadSimulation", name: str) -> None:
         self.simulation, self.name = simulation, name
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_early_shedding.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_early_shedding.py
@@ -1,4 +1,4 @@
-"""A request is shed early if every instance would shed it, and only then."""
+"""Tests of early shedding: only requests that every instance would shed are shed."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
 
 
 def test_threshold_without_replies_opens_over_time():
-    """If all requests are shed early, no reply reports that the gate has room."""
+    """If all requests are shed early, no reply reports that the gate has opened."""
     clock, picker, shedder = make_shedder(1)
     shedder.update("op", "i0", 1.0)
     assert shedder.shedding_instances(picker, "op", 3.5) is None
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
@@ -1,4 +1,4 @@
-"""Gate reports reach every node, and entry nodes shed early because of them."""
+"""Tests of gate reports: dissemination, expiry, and early shedding by them."""
 
 import pytest
 from hypothesis import given
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_threshold_cache.py
@@ -1,4 +1,4 @@
-"""Reported thresholds hold for a short time and never keep an open service shut."""
+"""A reported threshold expires, so a gate that has opened receives requests again."""
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.gate_status import ThresholdCache
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_upstream_health.py
@@ -1,4 +1,4 @@
-"""An impaired upstream is detected soon, and a healthy one is not reported."""
+"""Tests of impairment detection: delays, false detections and recovery."""
 
 from heapq import heappop, heappush
 from random import Random
@@ -92,7 +92,7 @@
 
 
 def test_hanging_upstream_stays_impaired():
-    """It completes no run, and the runs that it was sent are still in progress."""
+    """It completes no run, so the runs sent to it remain in progress."""
     upstream = Upstream()
     upstream.run(20.0)
     upstream.slowdown = 1e6
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -9,7 +9,7 @@
 _PROBE_MARGIN = 0.2
 #: Seconds after which a probe without a reply counts as lost.  Most runs are shorter;
 #: a longer one only lets a second probe pass.
-_PROBE_TIMEOUT = 1.0
+_PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class ThresholdCache:
@@ -133,7 +133,7 @@
         probed_at = self._probed_at.get(key, 0.0)
         outstanding = probed_at > reported_at
         if now - max(reported_at, probed_at) < (
-            _PROBE_TIMEOUT if outstanding else self._probe_after
+            _PROBE_TIMEOUT_SECONDS if outstanding else self._probe_after
         ):
             return False
         self._probed_at[key] = now
--- a/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
@@ -4,29 +4,29 @@
 
 from rattanfork_core.clock import Clock
 
-#: Weight of the latest run in the moving failure rate, and seconds in which the rate
+#: Weight of the latest run in the moving failure rate, and time in which the rate
 #: halves: an upstream that other nodes avoid gets no run that could show its recovery.
 _FAILURE_SMOOTHING = 0.1
-_FAILURE_HALF_LIFE = 4.0
+_FAILURE_HALF_LIFE_SECONDS = 4.0
 #: Failure rate from which an upstream is impaired.  Healthy ones fail one run in
 #: hundreds; two failures in a row stay below the limit.
 _MAX_FAILURE_RATE = 0.2
 #: Largest weight of one run in the mean duration of an operation, and seconds over
 #: which the mean is taken, so that a slow upstream does not soon pass for normal.
 _MEAN_MAX_WEIGHT = 0.05
-_MEAN_WINDOW = 30.0
+_MEAN_WINDOW_SECONDS = 30.0
 #: Completed runs after which the mean duration of an operation is used.
 _MIN_RUNS = 8
 #: Time constant in seconds of the sums of time spent and of completed runs.
-_COMPARISON_WINDOW = 2.0
+_COMPARISON_WINDOW_SECONDS = 2.0
 #: Runs of mean duration that are added to both sums, so that one long run alone does
-#: not make an upstream slow.
+#: not make an upstream count as slow.
 _PRIOR_RUNS = 3.0
 #: Multiple of the mean duration from which an upstream is slow.  Runs of a healthy one
 #: end at random, so few may end within the window.
 _SLOW_FACTOR = 3.0
 #: Seconds for which an upstream that was slow counts as impaired.
-_SLOW_HOLD = 3.0
+_SLOW_HOLD_SECONDS = 3.0
 #: Bound on memory.
 _MAX_OPERATIONS = 256
 
@@ -148,14 +148,14 @@
 
     def _current_failure_rate(self) -> float:
         elapsed = self._clock.now() - self._failure_rate_at
-        return self._failure_rate * 0.5 ** (elapsed / _FAILURE_HALF_LIFE)
+        return self._failure_rate * 0.5 ** (elapsed / _FAILURE_HALF_LIFE_SECONDS)
 
     def _update_mean(self, operation: str, duration: float) -> None:
         now = self._updated_at
         mean, mean_at, runs = self._means.get(operation, (duration, now, 0))
         if not runs and len(self._means) >= _MAX_OPERATIONS:
             self._means.clear()
-        weight = min(_MEAN_MAX_WEIGHT, (now - mean_at) / _MEAN_WINDOW)
+        weight = min(_MEAN_MAX_WEIGHT, (now - mean_at) / _MEAN_WINDOW_SECONDS)
         if runs < _MIN_RUNS:
             weight = 1.0 / (runs + 1)
         mean += weight * (duration - mean)
@@ -164,7 +164,7 @@
     def _is_slow(self) -> bool:
         self._update_sums()
         if self._spent + _PRIOR_RUNS > _SLOW_FACTOR * (self._completed + _PRIOR_RUNS):
-            self._slow_until = self._updated_at + _SLOW_HOLD
+            self._slow_until = self._updated_at + _SLOW_HOLD_SECONDS
         return self._updated_at < self._slow_until
 
     def _update_sums(self) -> None:
@@ -173,10 +173,11 @@
         elapsed, self._updated_at = now - self._updated_at, now
         if elapsed <= 0:
             return
-        decay = exp(-elapsed / _COMPARISON_WINDOW)
+        decay = exp(-elapsed / _COMPARISON_WINDOW_SECONDS)
         # Time is spent at a constant rate since the last update, and decays meanwhile.
-        self._spent = self._spent * decay + self._spending_rate * _COMPARISON_WINDOW * (
-            1.0 - decay
+        self._spent = (
+            self._spent * decay
+            + self._spending_rate * _COMPARISON_WINDOW_SECONDS * (1.0 - decay)
         )
         self._completed *= decay
         if not self._running:
