--- a/packages/rattanfork-core/rattanfork_core/admission/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/__init__.py
@@ -13,12 +13,12 @@
 __all__ = [
     "AdmissionController",
     "AdmissionSettings",
+    "AdmissionThreshold",
     "ConcurrencyLimit",
     "Decision",
     "DemandHistogram",
     "Refuse",
     "ServiceTimeEstimate",
-    "AdmissionThreshold",
     "Start",
     "WaitQueue",
     "Waiter",
--- a/packages/rattanfork-core/rattanfork_core/admission/controller.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/controller.py
@@ -15,9 +15,9 @@
 #: If completions arrive independently and none is seen in an interval, fewer than
 #: this many were due in it, with 95% confidence (the "rule of three").
 _MAX_MISSED_COMPLETIONS = 3.0
-#: Seconds without a completion that are not held against the upstream.  A busy event
-#: loop reads responses in batches tens of milliseconds apart; without this allowance,
-#: 200 concurrent requests to an upstream that answers in 1 ms were refused.
+#: Seconds without a completion that do not lower the estimated throughput.  A busy
+#: event loop reads responses in batches tens of milliseconds apart; without this
+#: allowance, 200 concurrent requests to an upstream that answers in 1 ms were refused.
 _MAX_LOOP_PAUSE_SECONDS = 0.1
 
 
@@ -189,7 +189,7 @@
 
         While the queue is not full, nothing is displaced, and a steady flow of lower
         ranks starves a waiter of high rank until its deadline; the work done for it
-        at the services above would be wasted.
+        at the services earlier in the call chain would be wasted.
         """
         max_wait = max(self._settings.max_wait, self._estimate.mean)
         overdue = self._queue.pop_arrived_before(now - max_wait)
--- a/packages/rattanfork-core/rattanfork_core/admission/decisions.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/decisions.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Refuse the request now; it was not run and will not be."""
+    """Refuse the request now: it has not run and will not."""
 
     waiter: Waiter
     reason: Reason
--- a/packages/rattanfork-core/rattanfork_core/admission/demand.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/demand.py
@@ -52,7 +52,7 @@
         self._counts = counts = [count * decay for count in self._counts]
         position = int(threshold * _BUCKETS_PER_RANK)
         if position >= _BUCKETS:
-            # No threshold is in force, the usual case: all demand arrives here.
+            # Without overload no threshold is in force, and all demand arrives here.
             self._remembered = counts
             return
         above = zip(counts[position:], self._remembered[position:], strict=True)
--- a/packages/rattanfork-core/rattanfork_core/admission/estimate.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/estimate.py
@@ -1,4 +1,4 @@
-"""Service times of operations at the upstream, as seen by admission."""
+"""Service times of operations at the upstream, measured by admission control."""
 
 #: Weight of a new sample in the moving averages.
 _SAMPLE_WEIGHT = 0.1
--- a/packages/rattanfork-core/rattanfork_core/admission/limit.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/limit.py
@@ -33,9 +33,13 @@
     """A test in progress: runs are measured at the old limit, then at a lower one."""
 
     old_limit: float
+    #: Start of the current measurement; runs started before it are not counted.
     since: float
+    #: Mean slowdown at the old limit; None until it is measured.
     before: float | None = None
+    #: Runs to skip before the measurement at the lower limit.
     skip: int = 0
+    #: Sum and number of the slowdowns measured.
     total: float = 0.0
     seen: int = 0
 
--- a/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/tests/test_deep_overload.py
@@ -24,7 +24,7 @@
 _CALL_TIMEOUT = 0.7
 _SLOTS = 33
 _MEAN_SERVICE_TIME = 0.057
-#: Seconds until a new threshold is known at the node that takes the runs.
+#: Seconds until a new threshold is known at the entry node.
 _THRESHOLD_DELAY = 0.05
 _STEP = 0.005
 
--- a/packages/rattanfork-core/rattanfork_core/admission/threshold.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/threshold.py
@@ -39,22 +39,23 @@
     Explanation
     ===========
 
-    The queue alone sheds in the right order, but only after the services above have
-    already worked for the request.  The threshold is announced on every response, so
-    that the node that first takes a request can refuse it instead.  It has to admit
-    what the upstream can do: if it is too low, slots idle; if it is too high, the
-    services above do work for requests that the queue then displaces.
+    The queue alone sheds in the right order, but only after the services earlier in
+    the call chain have already worked for the request.  The threshold is announced on
+    every response, so that the entry node, which receives the caller's request, can
+    refuse it instead.  It has to match the capacity of the upstream: if it is too low,
+    slots idle; if it is too high, the earlier services do work for requests that the
+    queue then displaces.
 
     - When the queue displaces a request, the threshold falls to its rank: the queue
       is full of lower ranks, so nothing of that rank or above would be admitted.  If
       the last few arrivals came much faster than the upstream serves, it also falls
       half the way to the rank below which they fit its capacity.  Displacement alone
-      would react to a surge only after the services above have worked for most of it.
+      would react to a surge only after the earlier services have worked for most of it.
     - While some slots idle, it rises by a part of the unused capacity.
     - While the queue is long or short, it moves by a small fraction of the capacity,
       so that it settles with a queue neither empty nor full.
     - While slots are mostly idle, it rises by steps that double: requests above the
-      threshold no longer arrive, so their number has to be probed for.
+      threshold no longer arrive, so their number is found only by admitting more.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/admission/waiter.py
+++ b/packages/rattanfork-core/rattanfork_core/admission/waiter.py
@@ -1,4 +1,4 @@
-"""A request as the admission controller sees it."""
+"""A request in admission control: waiting for a slot, or running."""
 
 from dataclasses import dataclass
 
