--- a/packages/rattanfork-core/rattanfork_core/budgets/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Deadlines, retry budgets and rate limits that bound what a request may cost."""
+"""Deadlines, retry budgets and rate limits, which bound the attempts of requests."""
 
 from rattanfork_core.budgets.caller_retry_budget import CallerRetryBudget
 from rattanfork_core.budgets.caller_table import CallerTable
@@ -10,12 +10,12 @@
 from rattanfork_core.budgets.service_retry_budget import ServiceRetryBudget
 
 __all__ = [
-    "RequestBudget",
+    "CallerRetryBudget",
     "CallerTable",
+    "GateRetryBudget",
     "LocalRequestBudget",
     "RateLimit",
-    "ServiceRetryBudget",
-    "GateRetryBudget",
-    "CallerRetryBudget",
+    "RequestBudget",
     "RunContext",
+    "ServiceRetryBudget",
 ]
--- a/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/caller_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget as a fraction of first attempts."""
+"""Retry budget of a caller or service, as a fraction of first attempts."""
 
 from rattanfork_core.clock import Clock
 
--- a/packages/rattanfork-core/rattanfork_core/budgets/retry_demand.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/retry_demand.py
@@ -1,4 +1,4 @@
-"""Demand for retries by rank."""
+"""Demand for retries by rank, from which retry budgets set their rank cut-off."""
 
 from math import exp
 
--- a/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
@@ -16,6 +16,8 @@
 
     token : str
         Opaque identifier, sent to the upstream in ``Rattanfork-Context``.
+    account : RequestBudget
+        Deadline and extra attempts for the downstream calls of the run.
     downstream_threshold : float
         Lowest admission threshold received from the services that this run called.
     downstream_retry_after : float
@@ -42,8 +44,8 @@
     def end(self) -> int:
         """End the run and cancel its child calls; return how many there were.
 
-        Nobody waits for their results, but they would still use capacity of
-        the downstream services.
+        Their results are no longer needed, but they would still use capacity of the
+        downstream services.
         """
         self.ended = True
         cancels = list(self.cancel_callbacks.values())
--- a/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/service_retry_budget.py
@@ -140,7 +140,7 @@
         self._requests[0] += 1
 
     def count_retry(self) -> None:
-        """Count a retry that did not ask for a grant."""
+        """Count a retry that needs no grant."""
         self._advance()
         self._retries[0] += 1
 
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_gate_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retries that all gates of a service grant stay within the service's bound."""
+"""Tests of gate retry budgets: the gates together stay within the service's bound."""
 
 from collections import deque
 
@@ -107,7 +107,7 @@
 
 
 def test_refunded_retry_can_be_granted_again():
-    """A retry is granted, but the gate's queue has no room for it."""
+    """A retry is granted, but not sent to the upstream, as the gate's queue is full."""
     grants = GateRetryBudget(ManualClock(), RATIO, 0.0, WINDOW)
     for _ in range(6):
         grants.count_request()
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_request_budget.py
@@ -1,4 +1,4 @@
-"""Request budgets never add attempts over the whole call tree."""
+"""Tests of request and caller budgets: retries in a call tree are bounded."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/tests/test_service_retry_budget.py
@@ -1,4 +1,4 @@
-"""The bound on the retries that reach one service."""
+"""Tests of the service retry budget: its bound, and which requests get retries."""
 
 from random import Random
 
