--- a/packages/rattanfork-core/rattanfork_core/quota/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/__init__.py
@@ -13,10 +13,10 @@
     "Grant",
     "Quota",
     "QuotaBound",
-    "WindowedMaximum",
+    "QuotaDecision",
     "TokenBucket",
     "TokenIssuer",
     "TokenLeases",
     "TokenRequest",
-    "QuotaDecision",
+    "WindowedMaximum",
 ]
--- a/packages/rattanfork-core/rattanfork_core/quota/bound.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bound.py
@@ -6,7 +6,7 @@
 
 #: Fractions of the allowance that may be used up by random variation of the arrivals,
 #: by tokens that are leased and unused, and by issuers that take an account over.  The
-#: rest covers nodes whose membership views differ for a while.
+#: rest covers the time in which the membership views of nodes differ.
 _VARIATION_FRACTION = 0.55
 _LEASE_FRACTION = 0.15
 _TAKEOVER_FRACTION = 0.2
--- a/packages/rattanfork-core/rattanfork_core/quota/bucket.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket whose rate and capacity may change, for quotas."""
+"""Token bucket of a quota, whose rate and capacity may change."""
 
 from rattanfork_core.clock import Clock
 
--- a/packages/rattanfork-core/rattanfork_core/quota/issuer.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/issuer.py
@@ -79,12 +79,12 @@
     ===========
 
     Every node orders the issuers of an account by the same hash; the first is the
-    primary.  Each node is entitled to an equal part of the limit, which it passes on to
-    the issuer that it asks.  So the tokens of all issuers together stay within the
-    limit even while the membership views of the nodes differ:
+    primary.  Each node is entitled to an equal part of the limit, which counts at the
+    issuer that it sends its token requests to.  So the tokens of all issuers together
+    stay within the limit even while the membership views of the nodes differ:
 
-    - A node that has long been primary, in its own view, issues for all nodes that it
-      sees.
+    - A node that has been primary, in its own view, for longer than a handover takes
+      issues for all nodes that it sees.
     - A node that has just become primary issues for the nodes that have sent it
       requests.
     - Any other node issues only a few initial tokens, enough for a small account until
@@ -151,7 +151,7 @@
         self._fleet_size = fleet_size
         self._order_changed_at = order_changed_at
         self._accounts: dict[str, _AccountState] = {}
-        #: Smallest fraction of the fleet visible during the last window, and when.
+        #: Smallest fraction of the fleet visible during the last window, and its time.
         self._lowest_fraction = (1.0, clock.now())
 
     def __len__(self) -> int:
--- a/packages/rattanfork-core/rattanfork_core/quota/leases.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/leases.py
@@ -12,15 +12,15 @@
 
 #: Time without a reply after which a token request is sent again.
 _REPLY_TIMEOUT_SECONDS = 0.08
-#: Issuers asked in turn, by their position in the account's order, before the requests
-#: that wait are refused.  The first one dominates, as lost datagrams are more common
-#: than failed issuers.
+#: Issuers that a token request is sent to in turn, by position in the account's order,
+#: before the waiting requests are refused.  The first one dominates, as lost datagrams
+#: are more common than failed issuers.
 _ISSUER_TURNS = (0, 0, 1, 0, 1, 0)
 #: Age of a token request up to which its reply still admits waiting requests, even if
 #: its tokens have expired and may not be kept.
 _MAX_REPLY_SECONDS = 0.5
 #: Longest time for which a node refuses requests itself after an issuer has refused
-#: one; asking again would cost two messages per request for the same reply.
+#: one; a token request for each would cost two messages and get the same reply.
 _MAX_BLOCK_SECONDS = 0.2
 #: Tokens are requested in advance for the expected demand of this time.
 _PREFETCH_SECONDS = 0.25
@@ -97,8 +97,8 @@
     Explanation
     ===========
 
-    All nodes know the same few issuers of an account, in an order that is particular
-    to it.  Tokens are requested from the first one, and from the next if there is no
+    All nodes know the same few issuers of an account, in an order specific to the
+    account.  Tokens are requested from the first one, and from the next if there is no
     reply.  A reply that was lost may mean tokens that are issued and never used; as
     tokens expire soon, this does not accumulate.  A node with many requests of an
     account requests tokens in advance, so that most requests do not have to wait.
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/fleet.py
@@ -133,10 +133,10 @@
         at = self.random.expovariate(rate)
         while at < seconds:
             name = self.random.choice(names)
-            self.at(at, lambda name=name: self.ask(name))
+            self.at(at, lambda name=name: self.send_request(name))
             at += self.random.expovariate(rate)
 
-    def ask(self, name: int) -> None:
+    def send_request(self, name: int) -> None:
         if name in self.running:
             quota: Quota = self.quota(name)
             quota.take(self.account, self._decided)
--- a/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
+++ b/packages/rattanfork-core/rattanfork_core/quota/tests/test_quota.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("account", [SMALL, MIDDLE, LARGE], ids=lambda a: a.name)
 def test_at_most_one_in_1000_requests_below_the_limit_is_refused(account):
-    """Guards against tokens that one node has unused while another lacks them."""
+    """Guards against unused tokens at one node while another has none."""
     fleet = Fleet(58, account)
     fleet.run(6.0)
     fleet.demand(0.9 * account.rate, 100.0)
@@ -59,7 +59,7 @@
     fleet.run(6.0)
     for name in range(30):
         for _ in range(3):
-            fleet.ask(name)
+            fleet.send_request(name)
     fleet.run(1.0)
     assert len(fleet.granted) == 90
 
@@ -159,18 +159,20 @@
 
 
 def _inject_fault(fleet: Fleet, kind: str, names: set[int]) -> None:
-    everyone = set(range(fleet.size))
+    all_nodes = set(range(fleet.size))
     if kind == "halves":
-        fleet.split({n for n in everyone if n % 2}, {n for n in everyone if not n % 2})
+        fleet.split(
+            {n for n in all_nodes if n % 2}, {n for n in all_nodes if not n % 2}
+        )
     elif kind == "heal":
-        fleet.split(everyone)
+        fleet.split(all_nodes)
         fleet.loss = 0.0
     elif kind == "kill":
         fleet.kill(names, 0.8)
     elif kind == "kill all":
-        fleet.kill(everyone, 0.8)
+        fleet.kill(all_nodes, 0.8)
     elif kind == "isolate":
-        fleet.split(everyone - names, *({name} for name in names))
+        fleet.split(all_nodes - names, *({name} for name in names))
     else:
         fleet.loss = 0.3
 
@@ -180,7 +182,7 @@
     clock = ManualClock(100.0)
     sent, decisions = [], []
     leases = TokenLeases(
-        clock, Random(1), BOUND, lambda name: ["n1"], lambda *asked: sent.append(asked)
+        clock, Random(1), BOUND, lambda name: ["n1"], lambda *call: sent.append(call)
     )
     for delay, expected in ((0.3, [QuotaDecision.GRANTED]), (0.6, [])):
         leases.take(LARGE, lambda decision, after: decisions.append(decision))
@@ -216,7 +218,7 @@
 def test_state_of_idle_accounts_is_dropped():
     """Guards against memory that grows with the number of accounts ever seen."""
     fleet = Fleet(3, SMALL)
-    fleet.ask(0)
+    fleet.send_request(0)
     fleet.run(1.0)
     assert len(fleet.nodes[0].leases) == 1
     fleet.run(60.0)
