--- a/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/announcement.py
@@ -23,7 +23,7 @@
     sequence : int
         Increases with each announcement of one incarnation.
     leaving : bool
-        Whether it accepts no new requests.
+        Whether it is draining and accepts no new requests.
     warmup_left : float
         Seconds for which it is still slow after its start.
     born : int
--- a/packages/rattanfork-core/rattanfork_core/announcements/tests/test_tracker.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/tests/test_tracker.py
@@ -1,4 +1,4 @@
-"""Late announcements and those of ended incarnations are ignored."""
+"""Tests of the tracker: late announcements and ended incarnations are ignored."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -42,7 +42,7 @@
     assert tracker.current.upstream == "new"
 
 
-def test_retired_upstream_is_not_accepted_again():
+def test_announcement_of_a_retired_upstream_is_not_accepted():
     tracker = AnnouncementTracker()
     tracker.accept(announce("a", 1))
     assert tracker.retire("a")
--- a/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
+++ b/packages/rattanfork-core/rattanfork_core/announcements/tracker.py
@@ -1,4 +1,4 @@
-"""Order of announcements: detection of late ones and of ended incarnations."""
+"""Rejects late announcements and those of incarnations that have ended."""
 
 from collections import OrderedDict
 
@@ -14,7 +14,7 @@
     Explanation
     ===========
 
-    Announcements may arrive late.  One sent before the upstream began to leave would
+    Announcements may arrive late.  One sent before the upstream began to drain would
     revert it to accepting requests, and one of a crashed incarnation would replace its
     successor at the same address.  Within an incarnation, announcements are ordered by
     sequence.  An incarnation that has been succeeded, or has left, is retired: its
