--- a/packages/rattanfork-core/rattanfork_core/connections/__init__.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Reuse of keep-alive connections to an upstream."""
+"""Reuse of keep-alive connections between a node and its upstream."""
 
 from rattanfork_core.connections.idle_limit import IdleLimit
 
--- a/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/idle_limit.py
@@ -6,18 +6,18 @@
 #: request sent while the upstream closes the connection may or may not have run.
 _KEEP_ALIVE_SHARE = 0.6
 #: Maximum idle time in seconds if the upstream states no keep-alive timeout.
-_DEFAULT_MAX_IDLE = 4.0
+_DEFAULT_MAX_IDLE_SECONDS = 4.0
 #: Maximum idle time in seconds for a request that must not run twice.  Devices between
 #: node and upstream drop idle connections after as little as 0.3 s; the limit is a
 #: third of that as a margin.  An upstream that gets ten requests a second nearly always
 #: has a connection idle for less, so few new ones are opened.
-_NON_RETRYABLE_MAX_IDLE = 0.1
+_NON_RETRYABLE_MAX_IDLE_SECONDS = 0.1
 #: Share of the idle time of a stale connection that becomes the limit, and its lower
 #: bound in seconds.
 _STALE_SHARE = 0.5
-_MIN_LEARNED = 0.05
-#: Seconds in which a learned limit doubles: what drops connections may be gone.
-_DOUBLING_TIME = 10.0
+_MIN_LEARNED_SECONDS = 0.05
+#: Time in which a learned limit doubles, as the cause of the resets may be gone.
+_DOUBLING_SECONDS = 10.0
 
 
 class IdleLimit:
@@ -66,7 +66,7 @@
 
     def on_stale(self, idle: float) -> None:
         """Record that a connection was reset on use after an idle time in seconds."""
-        self._learned = max(_MIN_LEARNED, _STALE_SHARE * idle)
+        self._learned = max(_MIN_LEARNED_SECONDS, _STALE_SHARE * idle)
         self._learned_at = self._clock.now()
 
     def max_idle(self, keep_alive_timeout: float | None, retryable: bool) -> float:
@@ -81,17 +81,17 @@
             Whether the request may be sent again after a reset.
         """
         limit = (
-            _DEFAULT_MAX_IDLE
+            _DEFAULT_MAX_IDLE_SECONDS
             if keep_alive_timeout is None
             else _KEEP_ALIVE_SHARE * keep_alive_timeout
         )
         if self._learned is not None:
             limit = min(limit, self._relaxed_limit(limit))
-        return limit if retryable else min(limit, _NON_RETRYABLE_MAX_IDLE)
+        return limit if retryable else min(limit, _NON_RETRYABLE_MAX_IDLE_SECONDS)
 
     def _relaxed_limit(self, upper_bound: float) -> float:
         """Return the learned limit now; forget it once it exceeds an upper bound."""
-        doublings = (self._clock.now() - self._learned_at) / _DOUBLING_TIME
+        doublings = (self._clock.now() - self._learned_at) / _DOUBLING_SECONDS
         learned = self._learned * 2.0 ** min(doublings, 32.0)
         if learned >= upper_bound:
             self._learned = None
--- a/packages/rattanfork-core/rattanfork_core/connections/tests/test_idle_limit.py
+++ b/packages/rattanfork-core/rattanfork_core/connections/tests/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""Idle connections that were dropped without notice are hardly ever reused."""
+"""Tests of the maximum idle time: dropped connections are hardly ever reused."""
 
 from hypothesis import given
 from hypothesis import strategies as st
