--- a/bench/by_routes.py
+++ b/bench/by_routes.py
@@ -1,46 +1,46 @@
-"""Two nodes that relay by routes, in front of an upstream of a bench."""
+"""Two nodes that relay by routes to an upstream, for ``speed.py``."""
 
 import tempfile
 from pathlib import Path
 from types import SimpleNamespace
 from urllib.parse import urlsplit
 
+from rattanfork_adapter.tests.fakes import FakeStore
 from rattanfork_adapter.tests.fleet import (
     NodeProcess,
     client_headers,
     configuration,
-    until,
+    wait_until,
 )
-from rattanfork_adapter.tests.stand_in import StoreStandIn
 from rattanfork_testkit import FreePorts
 
 
 class ByRoutes:
-    """A node of another service and the node beside an upstream.
+    """The node of a calling service, and the node of the upstream.
 
     Parameters
     ==========
 
     upstream_url : str
-        The upstream; it answers ``/a/x``.
+        Base URL of the upstream.
     """
 
     def __init__(self, upstream_url: str) -> None:
         self._upstream = urlsplit(upstream_url)
         self._folder = tempfile.TemporaryDirectory()
-        self._store = StoreStandIn()
+        self._store = FakeStore()
         self._ports = FreePorts()
         self._nodes: list[NodeProcess] = []
         self.headers = client_headers("speed", 5000)
 
     @property
     def url(self) -> str:
-        """Where callers of the other service send their requests."""
+        """URL for requests of the calling service."""
         return f"http://127.0.0.1:{self._nodes[0].ports['outbound']}/a/get"
 
     @property
     def processes(self) -> list:
-        """The two nodes' processes."""
+        """Processes of both nodes."""
         return [node.process for node in self._nodes]
 
     async def __aenter__(self) -> "ByRoutes":
@@ -57,7 +57,7 @@
             self._nodes.append(node)
             await node.start()
             await node.announce(slots=400)
-        await until(self._serves)
+        await wait_until(self._serves)
         return self
 
     async def __aexit__(self, *_: object) -> None:
