--- a/bench/shared.py
+++ b/bench/shared.py
@@ -164,7 +164,7 @@
         ] = await post_through_outage(cluster, seconds)
         await cluster.control(cluster.platform_url, mode="up")
         for peers in (True, False):
-            fresh = {}
+            times = {}
             for name, mode, delay in (
                 ("table up", "up", 0.0),
                 ("table 0.8 s slow", "slow", 0.8),
@@ -173,9 +173,9 @@
                 took = [
                     await time_to_ready(cluster, mode, delay, peers) for _ in range(3)
                 ]
-                fresh[name] = [round(t, 2) if t else None for t in took]
-            asked = "asking peers too" if peers else "table only"
-            result[f"fresh node ready, s, {asked}"] = fresh
+                times[name] = [round(t, 2) if t else None for t in took]
+            sources = "asking peers too" if peers else "table only"
+            result[f"fresh node ready, s, {sources}"] = times
     print(json.dumps(result, indent=1))
     if save:
         RESULTS.write_text(json.dumps(result, indent=1) + "\n")
--- a/packages/rattanfork-platform/rattanfork_platform/connect.py
+++ b/packages/rattanfork-platform/rattanfork_platform/connect.py
@@ -56,7 +56,7 @@
     ======
 
     PlatformDownError
-        If the platform does not answer.
+        If the call to the platform fails or times out.
     ValueError
         If platforms of this URL scheme hold no routes, or the configuration is
         malformed.
