--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,4 +1,7 @@
-"""Time from a start of all nodes at once to the first request each serves."""
+"""Seconds from a simultaneous start of all nodes to the first request each serves.
+
+Prints percentiles over all nodes and rounds, and the store calls of the first start.
+"""
 
 import argparse
 import asyncio
@@ -10,15 +13,15 @@
 from time import monotonic
 
 import uvloop
-from rattanfork_adapter.tests.fleet import NodeProcess, configuration, until
-from rattanfork_adapter.tests.stand_in import StoreStandIn, WorkerStandIn
+from rattanfork_adapter.tests.fakes import FakeStore, FakeWorker
+from rattanfork_adapter.tests.fleet import NodeProcess, configuration, wait_until
 from rattanfork_testkit import FreePorts
 
 _RESULTS = Path(__file__).parent.parent / "docs" / "measurements" / "starts.json"
 
 
-async def first_served(node: NodeProcess, number: int) -> float:
-    """Start a node; return the seconds until it has answered a request."""
+async def time_to_first_response(node: NodeProcess, number: int) -> float:
+    """Start a node; return the seconds until it responds to a request with 200."""
     began = monotonic()
     await node.start()
 
@@ -26,28 +29,30 @@
         answer = await node.request(f"start-{node.name}-{number}")
         return answer is not None and answer.status == 200
 
-    await until(serves)
+    await wait_until(serves)
     return monotonic() - began
 
 
 async def main(nodes: int, rounds: int, save: bool) -> None:
-    """Kill and start all nodes some times, and print the times."""
+    """Start and kill all nodes several times; print the results as JSON."""
     with tempfile.TemporaryDirectory() as folder:
-        store, ports = StoreStandIn(), FreePorts()
+        store, ports = FakeStore(), FreePorts()
         await store.start()
         await store.put("op", "config", configuration(1))
         fleet = []
         for number in range(nodes):
-            worker = WorkerStandIn(f"i-{number}", "s1")
+            worker = FakeWorker(f"i-{number}", "s1")
             await worker.start()
             node = NodeProcess(f"n{number}", worker, store, Path(folder), ports)
             fleet.append(node)
         times: list[float] = []
-        calls_before = 0
+        first_start_calls = 0
         for number in range(rounds):
-            times += await asyncio.gather(*(first_served(n, number) for n in fleet))
+            times += await asyncio.gather(
+                *(time_to_first_response(n, number) for n in fleet)
+            )
             await asyncio.gather(*(n.stop(signal.SIGKILL) for n in fleet))
-            calls_before = len(store.calls) if not number else calls_before
+            first_start_calls = len(store.calls) if not number else first_start_calls
         store.stop()
         cuts = quantiles(times, n=100)
         result = {
@@ -56,7 +61,7 @@
             "p50_s": round(cuts[49], 2),
             "p90_s": round(cuts[89], 2),
             "max_s": round(max(times), 2),
-            "store_calls_first_start": calls_before,
+            "store_calls_first_start": first_start_calls,
         }
         print(json.dumps(result, indent=1))
         if save:
