--- a/packages/rattanfork-node/rattanfork_node/call_gate/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/__init__.py
@@ -5,7 +5,7 @@
 packages :mod:`~rattanfork_node.edge` (HTTP server),
 :mod:`~rattanfork_node.call_ingress` (rules, choice of the instance, retries) and
 this one, the last two connected by :mod:`~rattanfork_node.peer` if the instance
-is at another node.  Requests by route take the other path, package
+is at another node.  Routed requests take the route path, package
 :mod:`~rattanfork_node.relay`, with its own admission gate.
 """
 
--- a/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/gate.py
@@ -153,7 +153,7 @@
         return self._contexts.get(token)
 
     def threshold(self, operation: str) -> float:
-        """Return the lower of this gate's and the downstream shedding threshold."""
+        """Return the lower of this gate's and the downstream admission threshold."""
         return min(
             self._admission.threshold,
             self._downstream_thresholds.threshold(operation, ""),
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/__init__.py
@@ -3,7 +3,7 @@
 Takes the requests that :mod:`rattanfork_node.edge` parsed from HTTP, applies the
 rules, picks an instance of the service, and sends the request to the
 :mod:`~rattanfork_node.call_gate` in front of it, retrying within the budgets.
-Requests by route don't pass here but through package :mod:`rattanfork_node.relay`.
+Routed requests are served by package :mod:`rattanfork_node.relay` instead.
 """
 
 from rattanfork_core.budgets.caller_table import CallerTable
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -29,7 +29,7 @@
 from rattanfork_node.peer import Call, Cancel, LinkLostError, PeerLink, PeerPool
 
 _FENCE_TIMEOUT_S = 1.0
-#: Failure rate above which the last threshold of an instance is ignored.
+#: Failure rate above which the last reported threshold of an instance is ignored.
 _MAX_FAILURE_RATE = 0.5
 
 
@@ -48,12 +48,12 @@
     Parameters
     ==========
 
-    account : RequestBudget
+    request_budget : RequestBudget
         Deadline, and retries left.
     key : str
         Idempotency key (a ticket), or "".
     threshold_key : str
-        Key of the called operation in the table of shedding thresholds.
+        Key of the called operation in the table of admission thresholds.
     data_centre : str or None
         Data centre that a rule requires.
     key_is_new : bool
@@ -61,7 +61,7 @@
     """
 
     incoming: IncomingRequest
-    account: RequestBudget
+    request_budget: RequestBudget
     importance: Importance
     rank: float
     idempotent: bool
@@ -95,7 +95,7 @@
     gate : CallGate
         This node's call gate.
     thresholds : ThresholdCache
-        Shedding thresholds reported in replies.
+        Admission thresholds reported in replies.
     epochs : EpochCache
         Key epochs reported in replies.
     """
@@ -123,7 +123,7 @@
         sent: dict[int, _SentCall] = {}
         commands = machine.start()
         try:
-            async with asyncio.timeout(job.account.time_left):
+            async with asyncio.timeout(job.request_budget.time_left):
                 while True:
                     command = commands[-1]
                     if isinstance(command, Finish):
@@ -223,7 +223,7 @@
                 incoming.caller,
                 job.importance,
                 job.rank,
-                job.account.deadline,
+                job.request_budget.deadline,
                 command.lent_attempts,
                 job.key,
                 job.idempotent,
@@ -251,7 +251,7 @@
             incoming.caller,
             int(job.importance),
             job.rank,
-            int(job.account.time_left * 1000),
+            int(job.request_budget.time_left * 1000),
             command.lent_attempts,
             job.key,
             job.idempotent,
@@ -312,12 +312,12 @@
 def shedding_instances(
     picker: InstancePicker, thresholds: ThresholdCache, threshold_key: str, rank: float
 ) -> tuple[frozenset[str], float]:
-    """Return the instances that shed a rank, and the highest shedding threshold."""
+    """Return the instances that shed a rank, and the highest admission threshold."""
     highest_threshold = 0.0
     shedding = []
     for state in picker.subset:
         if state.failure_rate > _MAX_FAILURE_RATE:
-            # Its last threshold is outdated, as it no longer responds.
+            # It no longer responds, so its last reported threshold is outdated.
             continue
         threshold = thresholds.threshold(threshold_key, state.name)
         highest_threshold = max(highest_threshold, threshold)
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -134,10 +134,10 @@
         if refusal is not None:
             return await self._fence_refused_key(incoming, refusal), policy
         deadline = self._clock.now() + policy.deadline
-        account = RequestBudget(self._clock, deadline, policy.attempts)
+        request_budget = RequestBudget(self._clock, deadline, policy.attempts)
         job = CallJob(
             incoming,
-            account,
+            request_budget,
             policy.importance,
             rank,
             policy.idempotent,
@@ -183,10 +183,10 @@
         if incoming.timeout is not None:
             deadline = min(deadline, self._clock.now() + incoming.timeout)
         lent = context.account.delegate()
-        account = RequestBudget(self._clock, deadline, lent)
+        request_budget = RequestBudget(self._clock, deadline, lent)
         job = CallJob(
             incoming,
-            account,
+            request_budget,
             context.importance,
             rank,
             incoming.idempotent,
@@ -201,7 +201,7 @@
             result = await self._dispatch(job)
         finally:
             context.cancel_callbacks.pop(number, None)
-        context.account.reclaim(lent, account.attempts)
+        context.account.reclaim(lent, request_budget.attempts)
         self._report_to_parent(context, job, result)
         return result
 
@@ -248,7 +248,9 @@
                 None if avoid else picker.pick(outside)
             )
 
-        machine = RequestStateMachine(job.account, True, pick, may_retry=budget.spend)
+        machine = RequestStateMachine(
+            job.request_budget, True, pick, may_retry=budget.spend
+        )
         return self._with_retry_after(job, await self._dispatcher.run(job, machine))
 
     def _pick_probe(
@@ -272,7 +274,7 @@
         result = CallResult(Outcome.NOT_RUN, Reason.NO_INSTANCE)
         picker = self._directory.picker(incoming.service)
         avoid = _instances_outside(picker, job.data_centre)
-        while not job.account.expired:
+        while not job.request_budget.expired:
             member = self._pick_member(incoming.service, avoid)
             if member is None:
                 break
@@ -283,7 +285,7 @@
             job.key, job.key_is_new = key, True
             result = await self._run_with_ticket(job)
             retry = result.outcome is Outcome.NOT_RUN and result.retry_elsewhere
-            if not retry or not job.account.spend():
+            if not retry or not job.request_budget.spend():
                 break
         return self._with_retry_after(job, result)
 
@@ -325,7 +327,9 @@
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
-        machine = RequestStateMachine(job.account, False, _pick_none, pinned=name)
+        machine = RequestStateMachine(
+            job.request_budget, False, _pick_none, pinned=name
+        )
         result = await self._dispatcher.run(job, machine)
         return self._with_retry_after(job, result)
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
@@ -14,9 +14,16 @@
 
 
 def job(key: str, key_is_new: bool) -> CallJob:
-    account = RequestBudget(ManualClock(), 1.0, 1)
+    request_budget = RequestBudget(ManualClock(), 1.0, 1)
     return CallJob(
-        None, account, Importance.HIGH, 1.5, False, key, "", key_is_new=key_is_new
+        None,
+        request_budget,
+        Importance.HIGH,
+        1.5,
+        False,
+        key,
+        "",
+        key_is_new=key_is_new,
     )
 
 
