--- a/packages/rattanfork-node/rattanfork_node/edge/parse.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/parse.py
@@ -89,6 +89,6 @@
 
 def _check_token(name: str, text: str, max_length: int) -> None:
     if len(text) > max_length:
-        raise BadRequestError(f"{name}: at most {max_length} characters")
+        raise BadRequestError(f"{name}: at most {max_length} characters are allowed")
     if not text.isascii() or not text.isprintable():
         raise BadRequestError(f"{name}: printable ASCII is expected")
--- a/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/base_handler.py
@@ -35,9 +35,9 @@
     Explanation
     ===========
 
-    The call log has the requests of a connection that were handed to the upstream.
-    It is kept after the connection is closed, because the peer asks over a new
-    connection whether the requests that it lost were run.
+    The call log lists the requests of a connection that were handed to the upstream.
+    It is kept after the connection is closed, because the peer sends fences for its
+    lost requests over a new connection.
 
     Parameters
     ==========
@@ -67,7 +67,7 @@
     def on_open(self, link: PeerLink) -> None:
         """Register an authenticated connection and create its call log."""
         if link.connection_id in self._call_logs:
-            raise FrameError("the connection ID is already in use")
+            raise FrameError("connection ID was already used by another connection")
         self._links.add(link)
         self._call_logs[link.connection_id] = ConnectionCallLog()
         if len(self._call_logs) > _MAX_CALL_LOGS:
@@ -103,7 +103,7 @@
         """
         call_log = self._call_logs.get(link.connection_id)
         if call_log is None or not call_log.accept(number):
-            raise FrameError("the request number is already in use")
+            raise FrameError("request number was already used on this connection")
         return call_log
 
     def fence_connection(self, fence: Fence) -> list[FenceVerdict]:
--- a/packages/rattanfork-node/rattanfork_node/peer/handshake.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/handshake.py
@@ -6,14 +6,15 @@
 
 from rattanfork_node.peer.errors import FrameError
 
-#: Initial buffer of a connection; msgpack's default is the maximum size.
+#: Initial receive buffer of a connection; by default, msgpack would allocate the
+#: maximum size at once.
 _INITIAL_BUFFER_BYTES = 16 << 10
 
 
 def make_proof(
     key: bytes, role: bytes, first_nonce: bytes, second_nonce: bytes, node: str
 ) -> bytes:
-    """Return the HMAC by which a node proves the key, bound to these nonces."""
+    """Return the HMAC that proves knowledge of the shared key for these nonces."""
     text = b"|".join((role, first_nonce, second_nonce, node.encode()))
     return hmac.digest(key, text, "sha256")
 
--- a/packages/rattanfork-node/rattanfork_node/peer/link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/link.py
@@ -35,9 +35,9 @@
     encode_message,
 )
 
-#: Buffer for a peer that has not yet proved that it has the shared key.
+#: Receive buffer until the peer has proved that it has the shared key.
 _HANDSHAKE_BUFFER_BYTES = 2048
-#: Bytes of a frame beside the body, such as headers.
+#: Maximum bytes of a frame besides the body, such as headers.
 _FRAME_OVERHEAD_BYTES = 256 << 10
 
 
@@ -207,7 +207,7 @@
         self.send_batched(message)
 
     def forget(self, number: int) -> None:
-        """Drop a pending request; its reply will be ignored."""
+        """Remove a pending request; its reply is dropped as late."""
         self._reply_futures.pop(number, None)
         self._run_callbacks.pop(number, None)
 
@@ -329,7 +329,9 @@
     def _advance_handshake(self, message: Message) -> None:
         if self._is_client and isinstance(message, Challenge):
             if message.version != PROTOCOL_VERSION:
-                raise FrameError("the peer has another protocol version")
+                raise FrameError(
+                    "protocol version of the peer differs from this node's"
+                )
             proof = self._proof(b"hello", message.nonce, self._nonce, self._node)
             self.send(
                 Hello(
@@ -347,7 +349,9 @@
             self._complete_handshake()
         elif not self._is_client and isinstance(message, Hello):
             if message.version != PROTOCOL_VERSION:
-                raise FrameError("the peer has another protocol version")
+                raise FrameError(
+                    "protocol version of the peer differs from this node's"
+                )
             expected = self._proof(b"hello", self._nonce, message.nonce, message.node)
             check_proof(message.proof, expected)
             self._peer, self._connection_id = message.node, message.connection_id
@@ -355,7 +359,7 @@
             self.send(Welcome(self._node, self._data_centre, proof))
             self._complete_handshake()
         else:
-            raise FrameError("message not valid during the handshake")
+            raise FrameError("message is not valid in this state of the handshake")
 
     def _proof(
         self, role: bytes, first_nonce: bytes, second_nonce: bytes, node: str
--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -46,7 +46,7 @@
 
     ``boot`` is the incarnation of the call gate that it is meant for, ``rank``
     its place in the order of shedding (higher ranks are shed first),
-    ``attempts`` the retries granted to its calls, and ``key`` its idempotency
+    ``attempts`` the retries granted to its child calls, and ``key`` its idempotency
     key or "".
     """
 
@@ -93,9 +93,9 @@
     ``boot`` is the incarnation of the gate that it is meant for, ``route`` the
     name of its route, ``block`` its raw header lines, and ``rank`` its place in
     the order of shedding (higher ranks are shed first).  ``attempt`` is the number
-    of the attempt, ``arrived`` tells whether an earlier one may have reached an
-    upstream, and ``repeated`` whether the run that made this request was itself a
-    retry.  ``account`` is the name of the client account, or "".
+    of the attempt, ``arrived`` is true if an earlier one may have reached an
+    upstream, and ``repeated`` if the run that made this request was itself a retry.
+    ``account`` is the name of the client account, or "".
     """
 
     number: int
@@ -225,7 +225,7 @@
 
 
 class RulesReply(NamedTuple):
-    """The cached rules; ``ready`` tells whether the node admits requests by them."""
+    """The cached rules; ``ready`` is true if the node admits requests by them."""
 
     number: int
     ready: bool
@@ -344,7 +344,7 @@
         raise FrameError("a message must be a non-empty array")
     kind = frame[0]
     if type(kind) is not int or not 0 <= kind < len(_KINDS):
-        raise FrameError("unknown kind of message")
+        raise FrameError("a message must start with the number of a known kind")
     types = _FIELD_TYPES[kind]
     if len(frame) != len(types) + 1:
         raise FrameError(f"{_KINDS[kind].__name__}: wrong number of fields")
--- a/packages/rattanfork-node/rattanfork_node/peer/rules.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/rules.py
@@ -6,7 +6,7 @@
 
 
 def rules_reply(state: RevisionState, request: RulesRequest) -> RulesReply:
-    """Return the cached rules, without their text if the peer has them."""
+    """Return the reply with the cached rules, without text that the peer has."""
     record = state.record
     text = "" if record.order == request.known else record.text
     return RulesReply(
