--- a/packages/rattanfork-node/rattanfork_node/relay/__init__.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Request path of a routing node: accepts, admits, forwards and runs requests.
+"""Route path: routes, admits, forwards and runs requests of a routing node.
 
 Requests are driven by callbacks instead of one asyncio task each, because the
 cost per request of this path dominates the CPU use of a node.
--- a/packages/rattanfork-node/rattanfork_node/relay/admitted_request.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/admitted_request.py
@@ -1,4 +1,4 @@
-"""Routing and admission decisions on a request, and records of its attempts."""
+"""Route path: decisions on a request, and records of its attempts."""
 
 from __future__ import annotations
 
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -1,4 +1,4 @@
-"""Authenticates callers by API key and enforces the quotas of client accounts."""
+"""Route path: authentication by API key, and quotas of client accounts."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 #: Largest age of a configuration's confirmation with which a key is accepted, as a
 #: share of the revocation bound; the rest allows for clock error.
 _CONFIRMATION_AGE_SHARE = 0.9
-#: Bounds of the wait of requests with unknown keys for a confirmation that no newer
-#: configuration has the key: the time, and the number of requests.
+#: Maximum duration and number of requests with unknown keys that wait for a
+#: confirmation that no newer configuration has the key.
 _MAX_KEY_WAIT_S = 1.0
 _MAX_WAITING_REQUESTS = 256
 #: Largest age of a confirmation with which an unknown key is answered 401 without
@@ -108,7 +108,7 @@
         Seconds within which every node must reject a revoked key; None if only
         nodes that reach the store are bound.
     request_confirmation : callable
-        Has a newer confirmation fetched soon.
+        Schedules the fetch of a newer confirmation.
     """
 
     def __init__(
@@ -222,11 +222,11 @@
         self, exchange: Exchange, route: Route, account: ClientAccount
     ) -> None:
         exchange.account = account
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
 
         def on_decision(decision: QuotaDecision, retry_after: float) -> None:
             now = self._clock.now()
-            exchange.account_delay += now - asked_at
+            exchange.account_delay += now - requested_at
             if decision is QuotaDecision.GRANTED:
                 exchange.granted_at = now
                 if exchange.answered:
--- a/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Detects crashes of the upstream and names the requests that may cause them."""
+"""Route path: detects upstream crashes and the requests that may cause them."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
     ==========
 
     tracker : SuspectTracker
-        Knows the requests that were in flight shortly before a crash.
+        Tracks the requests that were in flight shortly before a crash.
     counters : Counters
         Counts crashes.
     on_crash : callable
--- a/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/decision_log.py
@@ -1,4 +1,4 @@
-"""Request log, durations and losses of the decisions on requests."""
+"""Route path: logs decisions on requests, records their durations and losses."""
 
 from __future__ import annotations
 
--- a/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/drain_policy.py
@@ -1,10 +1,10 @@
-"""Admission of callers' requests at a node that is draining."""
+"""Route path: admission of callers' requests at a draining node."""
 
 from rattanfork_core.clock import Clock
 from rattanfork_core.routes import Route
 from rattanfork_core.routing import InstancePicker
 
-#: Multiple of the slowest instance's usual latency within which all but a few in a
+#: Multiple of the slowest instance's mean latency within which all but a few in a
 #: thousand requests end, if their durations are similar.
 _LATENCY_FACTOR = 4.0
 
@@ -24,7 +24,7 @@
     a timeout as long as the grace period would be refused throughout, although
     its requests take a fraction of a second: with three instances removed, that
     failed 157 of 32,700 requests.  Until ``serves_until``, a request is therefore
-    also accepted if a multiple of the usual latency fits into the time left; with
+    also accepted if a multiple of the mean latency fits into the time left; with
     this rule none of those requests failed.
 
     Parameters
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of one request: its attempts, retries, fences and deadline."""
+"""Route path: attempts, retries, fences and deadline of one request."""
 
 from __future__ import annotations
 
@@ -31,8 +31,9 @@
 
 #: Time within which a gate must answer a fence for an attempt whose link was lost.
 _FENCE_TIMEOUT_S = 0.5
-#: Multiple of an instance's usual latency after which a passed deadline counts as its
-#: failure: more than a queue that refuses late requests can add.
+#: Multiple of an instance's mean latency.  If an attempt has waited longer when its
+#: deadline passes, it counts as a failure of the instance: time in a queue, which
+#: refuses late requests, can't explain such a wait.
 _SILENT_LATENCY_FACTOR = 4.0
 #: Refused attempts ("not run") that don't count against the attempts of a route.  The
 #: retry budget is the effective limit: of the runs with four calls that it allowed,
@@ -127,9 +128,9 @@
         self._sent_at = 0.0
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
-        account = LocalRequestBudget(relay.clock, deadline, route.most_upstreams - 1)
+        budget = LocalRequestBudget(relay.clock, deadline, route.most_upstreams - 1)
         self._machine = RequestStateMachine(
-            account,
+            budget,
             route.idempotent,
             self._pick_instance,
             may_retry=self._may_retry,
@@ -151,12 +152,12 @@
         admitted = self._admitted
         picker, operation = admitted.picker, admitted.operation
         # Only for a caller's own request must the instance be fast enough for the
-        # time left: a call that times out is retried, or its run is.
+        # time left: a child call that times out is retried, or its run is.
         time_left = inf
         if admitted.parent is None:
             time_left = admitted.deadline - self._relay.clock.now()
-        # If all instances are expected to shed the request, any may be asked, as
-        # its gate decides; instances that a rule excludes stay excluded.
+        # If all instances are expected to shed the request, it may be sent to any of
+        # them, as its gate decides; instances that a rule excludes stay excluded.
         return picker.pick(avoid | self._blocked, operation, time_left) or (
             None if avoid else picker.pick(admitted.ruled_out, operation, time_left)
         )
@@ -404,7 +405,7 @@
 
     def _finish(self, result: CallResult) -> None:
         self._timer.cancel()
-        # The job's callback refers to this object: breaks the reference cycle.
+        # Breaks the reference cycle between this object and the job's callback.
         self._job = None
         self._relay.finish(
             self._exchange, self._admitted, self._attempt_records, result
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -1,4 +1,4 @@
-"""Admission and dispatch of requests to this node's upstream."""
+"""Route path, last stage: admission gate of this node's upstream."""
 
 from collections.abc import Iterable
 
@@ -38,13 +38,13 @@
 from rattanfork_node.telemetry import Counters
 
 #: Share of an upstream's announced slots that is used.  Some upstreams slow down when
-#: nearly full: one that takes 1.3 times as long from 95% on completes a fifth more
-#: work with one slot in twenty left free, and one that doesn't slow down loses a
-#: twentieth at most.
+#: nearly full.  If runs take 1.3 times as long from 95% utilization on, leaving one
+#: slot in twenty free raises the throughput by a fifth; an upstream that doesn't slow
+#: down loses a twentieth at most.
 _SLOT_UTILIZATION = 0.945
-#: Length of the queue: the larger of a share of the slots in use and of the requests
-#: that are served in a time in seconds.  A call that waits longer uses up the time that
-#: its parent run has for its other calls.
+#: Maximum length of the queue: ``_QUEUE_SHARE`` times the concurrency limit, or the
+#: requests served in ``_QUEUE_S`` seconds if these are more.  A child call that waits
+#: longer uses up the time that its parent run has for its other calls.
 _QUEUE_SHARE = 1.5
 _QUEUE_S = 0.2
 #: Time in the queue, in seconds, after which a request is shed; the mean service time
@@ -74,7 +74,7 @@
 
     All requests to the upstream pass its gate.  The gate keeps a queue ordered by
     rank, so that an important request does not wait inside the upstream behind
-    less important ones, and refuses at once what can't end before its deadline.
+    less important ones, and refuses requests that can't complete by their deadlines.
     "Not run" is reported only for requests that were not written to the upstream
     or that the upstream itself refused.
 
@@ -137,7 +137,7 @@
         self._downstream_thresholds = ThresholdCache(clock)
         #: Detects an upstream that fails or has become slow.
         self.health = UpstreamHealth(clock)
-        #: Services behind each operation, learned from the calls of its runs.
+        #: Services behind each operation, learned from the child calls of its runs.
         self.dependencies = OperationDependencies()
         self._jobs: dict[int, Job] = {}
         self._running: dict[bytes, Job] = {}
@@ -212,10 +212,10 @@
             self._withdraw(job, Reason.LEAVING)
 
     def parent_of(self, request_id: bytes) -> Job | None:
-        """Return the run that made a call, by the call's request ID.
+        """Return the run that made a child call, by the request ID of the call.
 
-        An upstream derives the IDs of its calls from that of the run, with a dot
-        and a suffix.  The prefix must be the ID of a request that is running here:
+        An upstream derives the IDs of its child calls from that of the run, with a
+        dot and a suffix.  The prefix must be the ID of a request that is running here:
         the form of an ID alone proves nothing, since callers may choose any.
         """
         prefix, dot, _ = request_id.rpartition(b".")
@@ -257,8 +257,8 @@
             self._finish_run(job, not_run(Reason.CANCELLED), False)
         elif job.idempotent:
             # Closing the connection makes the upstream stop.  A run that is not
-            # idempotent continues, and so do its calls: if it were aborted, nobody
-            # could tell how much of it was done.
+            # idempotent continues, and so do its child calls: if it were aborted, it
+            # would be unknown how much of it was done.
             job.connection.abort()
             self._tracker.on_lost(job.fingerprint)
             self._cancel_calls(job)
@@ -286,8 +286,8 @@
     def _admit_arrival(self, job: Job) -> bool:
         """Charge the retry budget for a request; return whether it is admitted.
 
-        A call of a run that is itself a retry is charged but never denied: without
-        the call, all work of the run so far would be lost.
+        A child call of a run that is itself a retry is charged but never denied:
+        without the call, all work of the run so far would be lost.
         """
         if job.arrived:
             job.granted = self.grants.grant(job.rank)
@@ -295,15 +295,15 @@
         if job.repeated:
             self.grants.count_retry()
         elif job.attempt == 1:
-            # Another gate has shed the first of later attempts, and counted it.
+            # A later attempt was counted as a request by the gate that shed the first.
             self.grants.count_request()
         return True
 
     def _cancel_calls(self, job: Job) -> None:
-        """Cancel the calls of a run, as some upstreams ignore a closed connection.
+        """Cancel the child calls of a run; some upstreams ignore a closed connection.
 
-        A draining node does not: if its upstream still waits for a response, it
-        would get a failure instead that only the restart has caused.
+        A draining node does not cancel them: an upstream that still waits for their
+        responses would get failures that are caused only by the restart.
         """
         if not self._leaving:
             for cancel in list(job.call_cancels.values()):
--- a/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
@@ -1,4 +1,4 @@
-"""Results that a gate reports for requests that have ended."""
+"""Route path: results that the gate reports for requests that have ended."""
 
 from rattanfork_core.request import CallResult, Outcome, Reason
 
--- a/packages/rattanfork-node/rattanfork_node/relay/job.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/job.py
@@ -1,4 +1,4 @@
-"""A request that was submitted to a gate."""
+"""Route path: a request as submitted to the gate."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -35,7 +35,7 @@
     idempotent : bool
         Whether it may be run more than once.
     repeated : bool
-        Whether the run that made this call was itself a retry.
+        Whether the run that made this child call was itself a retry.
     arrived : bool
         Whether an earlier attempt may have reached an upstream.
     attempt : int
@@ -43,8 +43,8 @@
     done : callable
         Called once with the result.
     may_hand_over : callable
-        Called last before the request is written to the upstream; False keeps it
-        from being sent.
+        Called just before the request is written to the upstream; returns False if
+        the request has been fenced.
     """
 
     boot: str
@@ -76,10 +76,10 @@
     lowest_called_threshold: float = float("inf")
     #: Services that the run called successfully, and the services behind those.
     services_reached: set[str] = field(default_factory=set)
-    #: Calls of the run that ended without and with a 2xx response.
+    #: Child calls of the run that ended without and with a 2xx response.
     failed_calls: int = 0
     succeeded_calls: int = 0
-    #: Cancel the calls that the run has in progress, by the id of their exchange.
+    #: Callbacks that cancel the run's pending child calls, by the id() of the exchange.
     call_cancels: dict[int, Callable[[], None]] = field(default_factory=dict)
 
     @property
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -1,4 +1,4 @@
-"""Handles messages from peer nodes at a routing node."""
+"""Route path: handles messages from other nodes."""
 
 from collections.abc import Callable
 
@@ -61,7 +61,7 @@
 
     def on_run(self, link: PeerLink, run: Run) -> None:
         """Submit a run to the gate."""
-        ledger = self.register_request(link, run.number)
+        call_log = self.register_request(link, run.number)
         if not 0 <= run.rank < RANK_LIMIT:
             raise FrameError("rank of a run is out of range")
         if not run.account.isprintable():
@@ -81,7 +81,7 @@
             run.arrived,
             run.attempt,
             self._replier(link, run.number, run.route),
-            lambda: ledger.hand_over(run.number),
+            lambda: call_log.hand_over(run.number),
             link.peer,
             run.account,
         )
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Responses to requests that are refused or that no upstream has run."""
+"""Route path: responses to requests that were not run."""
 
 from __future__ import annotations
 
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -1,4 +1,4 @@
-"""Entry point of routed requests: route lookup, admission and final response."""
+"""Route path, entry: route lookup, admission and final response."""
 
 from __future__ import annotations
 
@@ -69,9 +69,9 @@
 
     A caller's request is refused here, before any work is done, if every instance
     that could run it has announced that it, or a service further downstream, sheds
-    requests of this rank.  Calls that this node's own upstream makes during a run
-    are ranked by that run and are not refused here, since refusing them would waste
-    the work already done.
+    requests of this rank.  Child calls, which this node's own upstream makes during
+    a run, are ranked by that run and are not refused here, since refusing them would
+    waste the work already done.
 
     Parameters
     ==========
@@ -81,7 +81,7 @@
     random : Random
         Source of the jitter of Retry-After.
     settings : RelaySettings
-        Settings of the request path.
+        Settings of the route path.
     names : HeaderNames
         Names of request and response headers.
     configuration : ConfigurationHolder
@@ -91,9 +91,9 @@
     directory : InstanceDirectory
         The instances of each service.
     membership : Membership
-        Gossip membership; told of members that were replaced.
+        Gossip membership, in which replaced members are marked dead.
     pool : PeerPool
-        Links to peer nodes.
+        Connections to other nodes.
     gate : Gate
         The gate of this node's upstream.
     counters : Counters
@@ -207,9 +207,9 @@
                 exchange, route, service, rank, parent, picker, blocked or _NO_INSTANCES
             )
         else:
-            self._admit_root(exchange, route, service, picker)
+            self._admit_caller_request(exchange, route, service, picker)
 
-    def _admit_root(
+    def _admit_caller_request(
         self, exchange: Exchange, route: Route, service: str, picker: InstancePicker
     ) -> None:
         """Apply rules and load shedding to a caller's request; forward or refuse it."""
@@ -259,7 +259,7 @@
     def _shedding_instances(
         self, picker: InstancePicker, route: Route, service: str, rank: float
     ) -> frozenset[str] | None:
-        """Return the instances that would shed a rank; None if all have said so."""
+        """Return the instances that shed a rank; None if all have announced it."""
         blocked = self.early_shedder.shedding_instances(
             picker, self.operation(route, service), rank
         )
@@ -272,14 +272,15 @@
             )
             if threshold <= rank:
                 shedding.add(state.name)
-        # Reports may be outdated: if all instances shed, any gate may still be asked.
+        # Reports may be outdated: if all instances shed by them, the reports are
+        # ignored and the gate that receives the request decides.
         return blocked | shedding if len(shedding) < len(picker.subset) else blocked
 
     def drain(self, policy: DrainPolicy) -> None:
         """Accept only callers' requests that a drain policy accepts.
 
-        Calls of runs at the node's own upstream are accepted until the node exits,
-        as those runs can't finish without them.
+        Child calls of the node's own upstream are accepted until the node exits, as
+        the runs that make them can't complete without them.
         """
         self._drain_policy = policy
 
--- a/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
@@ -1,4 +1,4 @@
-"""Ranks callers' requests for load shedding."""
+"""Route path: ranks of callers' requests for load shedding."""
 
 from __future__ import annotations
 
--- a/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/rule_decisions.py
@@ -1,4 +1,4 @@
-"""Applies the operators' ordered rules to routed requests.
+"""Route path: applies the operators' ordered rules to requests.
 
 The validation library that this module imports is large, so it is imported only
 by nodes that have rules.
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleDecision:
-    """What the first matching rule decides on a request.
+    """Decision of the first matching rule on a request.
 
     Parameters
     ==========
--- a/packages/rattanfork-node/rattanfork_node/relay/settings.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the request path of a routing node."""
+"""Settings of the route path."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Settings of the request path of a routing node.
+    """Settings of the route path of a node.
 
     Parameters
     ==========
@@ -29,7 +29,7 @@
         Seconds within which every node must reject a revoked key; None if only
         nodes that reach the store are bound.
     quota : QuotaBound
-        How far client accounts may exceed their quotas.
+        Bound by which client accounts may exceed their quotas.
     """
 
     service: str
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_decision_log.py
@@ -95,7 +95,7 @@
 async def test_only_finished_caller_requests_count_for_objectives():
     """One request is answered in time, one late, one fails, one is refused.
 
-    Calls of a run and requests cancelled by their callers are not objective_counts.
+    Calls of a run and requests cancelled by their callers do not count.
     """
     harness = RelayHarness(peers=1)
     [link] = harness.links
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """The way in which one attempt ends.
+    """End of one attempt: its result, or the loss of its link.
 
     ``may_run`` is whether an upstream may have run it.  Without an outcome the link
     is lost; without a verdict the gate does not answer the fence.
@@ -28,7 +28,7 @@
     verdict: FenceVerdict | None = None
 
     def apply(self, harness: RelayHarness, link: FakeLink, index: int) -> None:
-        """End an attempt in this way."""
+        """End an attempt with this fault."""
         if self.outcome is None:
             harness.pool.verdicts.append(self.verdict)
             link.lose(index)
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
@@ -95,9 +95,9 @@
 
 
 def test_request_fenced_during_connect_is_not_sent():
-    """The sender was told "not run" in reply to a fence.
+    """The sender has received the verdict "not run" in reply to a fence.
 
-    So the request must not be handed over afterwards.
+    The request must not be handed over afterwards.
     """
     harness = GateHarness()
     harness.pool.hold_connects = True
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -44,7 +44,7 @@
 async def test_non_idempotent_request_is_not_retried_after_link_loss():
     """The link is lost after the gate has handed the request to its upstream.
 
-    The gate says so when it is asked to fence the request; its outcome is unknown.
+    The gate reports so in reply to the fence; the outcome of the request is unknown.
     """
     harness = RelayHarness(peers=2, idempotent=False)
     harness.pool.verdicts = [FenceVerdict.HANDED_OVER]
@@ -202,18 +202,18 @@
 async def test_request_is_given_up_after_two_denied_retries():
     """An upstream fails, and two other gates have no retry budget left.
 
-    The caller gets the upstream's failure, and no third gate is asked.
+    The caller gets the upstream's failure, and no further retry is sent.
     """
     harness = RelayHarness(peers=4, most_upstreams=2)
     exchange = harness.send_request()
     [(first, index)] = harness.runs
     failed = Reason.UPSTREAM_FAILED
     first.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
-    asked = {first.peer}
+    tried = {first.peer}
     for _ in range(2):
         assert exchange.output is None
-        denying, index = next(r for r in harness.runs if r[0].peer not in asked)
-        asked.add(denying.peer)
+        denying, index = next(r for r in harness.runs if r[0].peer not in tried)
+        tried.add(denying.peer)
         denying.reply(index, NOT_RUN, Reason.NO_REPEAT, retry_elsewhere=True)
     assert exchange.output == (500, b"", b"body")
     assert len(harness.runs) == 3
@@ -250,8 +250,8 @@
 async def test_draining_node_does_not_fail_calls_of_cancelled_runs():
     """A run at the upstream of a draining node is cancelled.
 
-    Its connection is closed, and it is left to the upstream to close those of its
-    calls: one that still waits for a call must not get a failure from the restart.
+    The node closes the connection of the run but not those of its calls: an upstream
+    that still waits for a call must not get a failure caused by the restart.
     """
     harness = RelayHarness(peers=1)
     job, _ = harness.gate_harness.submit("run")
--- a/packages/rattanfork-node/rattanfork_node/relay/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream instance that a node fronts, as announced to it."""
+"""Route path: the upstream beside a node, as it announced itself."""
 
 from typing import NamedTuple
 
