--- a/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/dispatcher.py
@@ -48,7 +48,7 @@
     Parameters
     ==========
 
-    request_budget : RequestBudget
+    account : RequestBudget
         Deadline, and retries left.
     key : str
         Idempotency key (a ticket), or "".
@@ -61,7 +61,7 @@
     """
 
     incoming: IncomingRequest
-    request_budget: RequestBudget
+    account: RequestBudget
     importance: Importance
     rank: float
     idempotent: bool
@@ -123,7 +123,7 @@
         sent: dict[int, _SentCall] = {}
         commands = machine.start()
         try:
-            async with asyncio.timeout(job.request_budget.time_left):
+            async with asyncio.timeout(job.account.time_left):
                 while True:
                     command = commands[-1]
                     if isinstance(command, Finish):
@@ -223,7 +223,7 @@
                 incoming.caller,
                 job.importance,
                 job.rank,
-                job.request_budget.deadline,
+                job.account.deadline,
                 command.lent_attempts,
                 job.key,
                 job.idempotent,
@@ -251,7 +251,7 @@
             incoming.caller,
             int(job.importance),
             job.rank,
-            int(job.request_budget.time_left * 1000),
+            int(job.account.time_left * 1000),
             command.lent_attempts,
             job.key,
             job.idempotent,
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -248,9 +248,7 @@
                 None if avoid else picker.pick(outside)
             )
 
-        machine = RequestStateMachine(
-            job.request_budget, True, pick, may_retry=budget.spend
-        )
+        machine = RequestStateMachine(job.account, True, pick, may_retry=budget.spend)
         return self._with_retry_after(job, await self._dispatcher.run(job, machine))
 
     def _pick_probe(
@@ -274,7 +272,7 @@
         result = CallResult(Outcome.NOT_RUN, Reason.NO_INSTANCE)
         picker = self._directory.picker(incoming.service)
         avoid = _instances_outside(picker, job.data_centre)
-        while not job.request_budget.expired:
+        while not job.account.expired:
             member = self._pick_member(incoming.service, avoid)
             if member is None:
                 break
@@ -285,7 +283,7 @@
             job.key, job.key_is_new = key, True
             result = await self._run_with_ticket(job)
             retry = result.outcome is Outcome.NOT_RUN and result.retry_elsewhere
-            if not retry or not job.request_budget.spend():
+            if not retry or not job.account.spend():
                 break
         return self._with_retry_after(job, result)
 
@@ -327,9 +325,7 @@
         if ticket.service != job.incoming.service:
             return CallResult(Outcome.NOT_RUN, Reason.KEY_MISUSED)
         name = f"{ticket.instance}@{ticket.boot}"
-        machine = RequestStateMachine(
-            job.request_budget, False, _pick_none, pinned=name
-        )
+        machine = RequestStateMachine(job.account, False, _pick_none, pinned=name)
         result = await self._dispatcher.run(job, machine)
         return self._with_retry_after(job, result)
 
