--- a/packages/rattanfork-node/rattanfork_node/http1/client.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/client.py
@@ -25,8 +25,8 @@
     target : bytes
         Path and query.
     since : float
-        Time of the call, on the client's clock.
-    rested : float or None
+        Time at which it was made, in seconds of the client's clock.
+    connection_idle : float or None
         Seconds for which its connection was idle before it was sent; 0 for a new
         connection, None while the request waits for a connection.
     """
@@ -48,7 +48,7 @@
         Address of the server.
     port : int
         Port of the server.
-    noted : frozenset of bytes
+    captured : frozenset of bytes
         Lower-case names of the headers to include in
         :attr:`UpstreamResponse.headers`.
     """
--- a/packages/rattanfork-node/rattanfork_node/http1/pool.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/pool.py
@@ -9,7 +9,7 @@
 from rattanfork_node.http1.upstream import UpstreamConnection
 
 #: Seconds allowed for connecting; the upstream is on the same instance.
-_CONNECT_TIMEOUT = 1.0
+_CONNECT_TIMEOUT_S = 1.0
 
 
 class UpstreamPool:
@@ -72,8 +72,8 @@
 
         ``on_acquired`` is called before this method returns if a connection is idle.  A
         request that is not ``retryable`` gets a connection that was idle only
-        briefly, or a new one: a reset of a stale connection would leave open
-        whether the request was executed.
+        briefly, or a new one: after a reset of a stale connection it would be
+        unknown whether the request was executed.
         """
         connection = self._take_idle(retryable)
         if connection is not None:
@@ -137,11 +137,11 @@
             elif retryable or idle_time <= self._max_idle(connection, False):
                 return self._idle.pop()
             else:
-                self._make_room()
+                self._evict_if_full()
                 return None
         return None
 
-    def _make_room(self) -> None:
+    def _evict_if_full(self) -> None:
         """Close the longest idle connection if the pool is full."""
         if len(self._open) + len(self._connecting) >= self._max_connections:
             connection = self._idle.pop(0)
@@ -161,7 +161,7 @@
     async def _open_connection(self) -> UpstreamConnection | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(_CONNECT_TIMEOUT):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
                     lambda: UpstreamConnection(
                         self._clock,
--- a/packages/rattanfork-node/rattanfork_node/http1/server_connection.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/server_connection.py
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from rattanfork_node.http1.server import HttpServer
 
-#: Unanswered requests of one connection at which reading pauses.  Far above what
-#: clients pipeline; bounds the memory that one connection can take.
+#: Unanswered requests of one connection at which reading pauses.  Clients pipeline far
+#: fewer; the limit bounds the memory that one connection can take.
 _MAX_PIPELINED = 64
 #: Seconds for which a client may leave responses unread.
-_SLOW_READER_TIMEOUT = 20.0
+_SLOW_READER_TIMEOUT_S = 20.0
 #: Bytes of unsent responses to one client at which reading of requests pauses.
 _WRITE_BUFFER_BYTES = 256 << 10
 
@@ -224,7 +224,7 @@
             if now - self._head_since > limits.head_timeout:
                 self._reject(408)
         elif not self._writable:
-            if now - self._last_active > _SLOW_READER_TIMEOUT:
+            if now - self._last_active > _SLOW_READER_TIMEOUT_S:
                 self._transport.abort()
         elif not self.pending and now - self._last_active > limits.idle_timeout:
             self.close()
--- a/packages/rattanfork-node/rattanfork_node/http1/tests/test_pool.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/tests/test_pool.py
@@ -48,7 +48,7 @@
 
 @on_loop
 def test_unretryable_request_is_not_sent_on_long_idle_connection():
-    """Guards against a reset that leaves open whether a POST was executed.
+    """Guards against a reset after which it is unknown whether a POST was executed.
 
     The upstream may have closed a connection that was idle for 0.4 s.  A retryable
     request may use it; one that is not retryable gets a new connection.
--- a/packages/rattanfork-node/rattanfork_node/http1/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/upstream.py
@@ -11,9 +11,9 @@
 
 #: Seconds after sending within which a reset means that the upstream had already
 #: dropped the connection.  It is on the same instance, so such a reset comes at once.
-_STALE_RESET_WINDOW = 0.1
+_STALE_RESET_WINDOW_S = 0.1
 #: Idle seconds up to which a reset is not attributed to the connection being stale.
-_MIN_STALE_IDLE = 0.1
+_MIN_STALE_IDLE_S = 0.1
 #: Maximum size of a response body in bytes.
 _MAX_BODY_BYTES = 64 << 20
 
@@ -47,9 +47,9 @@
     ===========
 
     An upstream may send a response twice, or so late that it arrives in place of the
-    next one.  While a response is awaited, one that echoes another request ID is
-    dropped.  Bytes that arrive while none is awaited close the connection.  Otherwise
-    a caller could receive the response to another caller's request.
+    next one.  A response that echoes another ID than that of the pending request is
+    dropped, and bytes that arrive without a pending request close the connection.
+    Otherwise a caller could receive the response to another caller's request.
 
     Parameters
     ==========
@@ -115,7 +115,7 @@
             The whole request.
         request_id : bytes
             ID that the response must echo if it has the header.
-        done : callable
+        on_response : callable
             Called once, with the complete response, or None if the connection
             closed before.
         """
@@ -209,7 +209,7 @@
 
     def _detect_stale(self) -> None:
         elapsed = self._clock.now() - self._sent_at
-        if elapsed < _STALE_RESET_WINDOW and self._idle_time > _MIN_STALE_IDLE:
+        if elapsed < _STALE_RESET_WINDOW_S and self._idle_time > _MIN_STALE_IDLE_S:
             self.stale_idle_time = self._idle_time
 
     def _reset(self) -> None:
