--- a/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -24,7 +24,7 @@
     random : Random
         Source of random delays.
     settings : RelaySettings
-        Settings of the request path, including those of quotas.
+        Settings of the route path, including those of quotas.
     configuration : ConfigurationHolder
         The configuration in force.
     lease : ConfigurationLease
--- a/packages/rattanfork-node/rattanfork_node/app/fleet.py
+++ b/packages/rattanfork-node/rattanfork_node/app/fleet.py
@@ -15,7 +15,7 @@
 #: Maximum number of nodes queried for one report; a larger fleet is sampled.
 MAX_QUERIED = 200
 _MAX_CONCURRENT = 32
-_QUERY_TIMEOUT = 2.0
+_QUERY_TIMEOUT_S = 2.0
 
 Reply = TypeVar("Reply")
 
@@ -100,7 +100,7 @@
         async def query_one(member: Member) -> tuple[str, Reply | None]:
             async with concurrency:
                 try:
-                    async with asyncio.timeout(_QUERY_TIMEOUT):
+                    async with asyncio.timeout(_QUERY_TIMEOUT_S):
                         return member.name, await query(member)
                 except (LinkLostError, TimeoutError):
                     return member.name, None
--- a/packages/rattanfork-node/rattanfork_node/app/peers.py
+++ b/packages/rattanfork-node/rattanfork_node/app/peers.py
@@ -1,4 +1,4 @@
-"""Handles the messages that other nodes send to a node."""
+"""Call path: handles messages from other nodes."""
 
 import asyncio
 
@@ -60,10 +60,10 @@
 
     def on_call(self, link: PeerLink, call: Call) -> None:
         """Run a call in the background and reply on the link."""
-        ledger = self.register_request(link, call.number)
+        call_log = self.register_request(link, call.number)
         if not 0 <= call.importance < RANK_LIMIT or not 0 <= call.rank < RANK_LIMIT:
             raise FrameError("importance or rank out of range")
-        task = asyncio.ensure_future(self._run(link, call, ledger))
+        task = asyncio.ensure_future(self._run(link, call, call_log))
         link.calls[call.number] = task
 
     def on_cancel(self, link: PeerLink, number: int) -> None:
@@ -95,9 +95,11 @@
         for task in list(link.calls.values()):
             task.cancel()
 
-    async def _run(self, link: PeerLink, call: Call, ledger: ConnectionCallLog) -> None:
+    async def _run(
+        self, link: PeerLink, call: Call, call_log: ConnectionCallLog
+    ) -> None:
         def may_hand_over() -> bool:
-            return ledger.hand_over(call.number)
+            return call_log.hand_over(call.number)
 
         request = GateRequest(
             call.boot,
--- a/packages/rattanfork-node/rattanfork_node/app/prober.py
+++ b/packages/rattanfork-node/rattanfork_node/app/prober.py
@@ -6,7 +6,7 @@
 
 #: Time-out of a probe in seconds.  A probe waits for a slot like any request, so a busy
 #: upstream may not answer in time; its next announcement then identifies it.
-_PROBE_TIMEOUT = 1.0
+_PROBE_TIMEOUT_S = 1.0
 
 
 class UpstreamProber:
@@ -40,7 +40,7 @@
         """Return the ID of a healthy upstream; None if there is none or it leaves."""
         try:
             response = await self._client.request(
-                b"GET", path.encode(), timeout=_PROBE_TIMEOUT
+                b"GET", path.encode(), timeout=_PROBE_TIMEOUT_S
             )
         except (ConnectionError, TimeoutError, OSError):
             return None
--- a/packages/rattanfork-node/rattanfork_node/app/relay_settings.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_settings.py
@@ -28,7 +28,7 @@
     upstream : pair
         Address of the upstream.
     relay : RelaySettings
-        Settings of the request path.
+        Settings of the route path.
     names : HeaderNames
         Names of the headers to read and set.
     fleet_key : bytes
--- a/packages/rattanfork-node/rattanfork_node/app/shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/shutdown.py
@@ -16,14 +16,14 @@
 _ACCEPT_RUNS_SHARE = 0.27
 #: Seconds after the announcement of leaving during which runs are still accepted.  By
 #: then all nodes have received it, so that no call has to be retried elsewhere.
-_PROPAGATION_TIME = 0.4
+_PROPAGATION_S = 0.4
 #: Minimum time in seconds after SIGTERM for which callers are served.  Readiness is
 #: checked every second, and two failed checks take a node out of service.
-_MIN_SERVING_TIME = 2.6
+_MIN_SERVING_S = 2.6
 #: Share of the grace period after which the process exits even with requests in flight.
 _EXIT_SHARE = 0.85
 #: Seconds between two checks of the requests in flight.
-_POLL_INTERVAL = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 class Shutdown:
@@ -67,8 +67,8 @@
 
     @property
     def serves_until(self) -> float:
-        """Time until which callers are served at least."""
-        return self._began_at + _MIN_SERVING_TIME
+        """Earliest time at which callers are no longer served."""
+        return self._began_at + _MIN_SERVING_S
 
     def begin(self) -> float:
         """Begin the shutdown; return the latest time at which the process exits."""
@@ -88,11 +88,11 @@
             if now >= announce_at and not announced:
                 announced = True
                 self._member.leave()
-            if now >= announce_at + _PROPAGATION_TIME and self._gate.accepting:
+            if now >= announce_at + _PROPAGATION_S and self._gate.accepting:
                 self._gate.detach()
-            if now - self._began_at > _MIN_SERVING_TIME and not self._in_flight:
+            if now - self._began_at > _MIN_SERVING_S and not self._in_flight:
                 break
-            await asyncio.sleep(_POLL_INTERVAL)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         if not self._in_flight:
             return 0
         log_change("cut_off", runs=self._gate.outstanding, requests=self._in_flight)
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_shutdown.py
@@ -25,7 +25,7 @@
 
 
 class DrainingNode:
-    """Gate, server and gossip of a node; records when they are told to leave."""
+    """Gate, server and gossip of a node; records when they begin to leave."""
 
     def __init__(self, busy_seconds: float = 0.0) -> None:
         self.clock = SteppingClock()
@@ -42,7 +42,7 @@
         return self.outstanding
 
     def leave(self) -> None:
-        """Called as method of the gate, the server and the gossip task."""
+        """Serves as ``leave`` of the gate, the server and the gossip task."""
         self.events["left"] = self.clock.elapsed
 
     def detach(self) -> None:
@@ -57,7 +57,7 @@
 
 @pytest.fixture(autouse=True)
 def no_poll_delay(monkeypatch):
-    monkeypatch.setattr("rattanfork_node.app.shutdown._POLL_INTERVAL", 0.0)
+    monkeypatch.setattr("rattanfork_node.app.shutdown._POLL_INTERVAL_S", 0.0)
 
 
 def test_draining_node_accepts_runs_until_its_leaving_has_spread():
--- a/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
+++ b/packages/rattanfork-node/rattanfork_node/app/tests/test_upstream_monitor.py
@@ -86,10 +86,10 @@
 
 
 def test_restarted_node_does_not_attach_leaving_upstream():
-    """Guards against attaching an upstream whose leaving the node has forgotten.
+    """Guards against attaching an upstream that had announced its leaving.
 
-    The node was killed after acknowledging it.  A leaving upstream refuses probes and
-    repeats the announcement of its leaving.
+    The node was killed after acknowledging that announcement.  A leaving upstream
+    refuses probes and repeats the announcement.
     """
     harness = MonitorHarness()
     harness.probe(None)
--- a/packages/rattanfork-node/rattanfork_node/app/upstream_monitor.py
+++ b/packages/rattanfork-node/rattanfork_node/app/upstream_monitor.py
@@ -17,7 +17,7 @@
 #: rejects them as not run.  Too few would leave it idle when all nodes restart.
 _DEFAULT_SLOTS = 64
 #: Seconds between two probes of an upstream that is not identified yet.
-_PROBE_INTERVAL = 0.4
+_PROBE_INTERVAL_S = 0.4
 
 
 class UpstreamMonitor:
@@ -39,11 +39,11 @@
     gate : Gate
         Gate to which the upstream is attached.
     membership : Membership
-        Informed whether this node's upstream accepts requests.
+        Membership, in which this node's upstream is announced as ready or not.
     configuration : ConfigurationHolder
         Configuration with the upstream's connection limit and probe path.
     prober : UpstreamProber
-        Asks the upstream for its ID.
+        Probes the upstream for its ID.
     service : str
         Service of the upstream.
     address : pair
@@ -132,7 +132,7 @@
     async def _probe(self, path: str) -> None:
         name = await self._prober.ask(path)
         self._probing = False
-        self._next_probe = self._clock.now() + _PROBE_INTERVAL
+        self._next_probe = self._clock.now() + _PROBE_INTERVAL_S
         if name is None or self._tracker.is_retired(name):
             return
         current = self._tracker.current
