--- a/packages/rattanfork-core/rattanfork_core/revision/record.py
+++ b/packages/rattanfork-core/rattanfork_core/revision/record.py
@@ -30,7 +30,7 @@
     revision : int
         Number of the revision; 0 if there are no rules.
     operation : str
-        ID of the commit; tells apart two changes made from the same revision.
+        ID of the commit; distinguishes two changes made from the same revision.
     author : str
         Operator who made the change.
     comment : str
@@ -90,5 +90,7 @@
         texts = [row.get(k) for k in ("operation", "author", "comment", "text")]
         numbers = type(revision) is int and type(era) is int and era >= 0
         if not numbers or not all(isinstance(t, str) for t in texts):
-            raise ValueError("rules row: fields missing or of a wrong type")
+            raise ValueError(
+                "rules row: integer revision, era from 0 and four texts expected"
+            )
         return cls(revision, *texts, era)
