--- a/packages/rattanfork-node/rattanfork_node/call_gate/upstream_client.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/upstream_client.py
@@ -51,7 +51,7 @@
     def __init__(self, url: str, connections: int, max_body_bytes: int) -> None:
         self._base_url = url
         self._max_body_bytes = max_body_bytes
-        # Shorter than the usual keep-alive timeout of servers.  If the upstream
+        # Shorter than typical keep-alive timeouts of servers.  If the upstream
         # closed an idle connection just as a POST is sent on it, the outcome of
         # the request would be unknown.
         connector = aiohttp.TCPConnector(
--- a/packages/rattanfork-node/rattanfork_node/edge/parse.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/parse.py
@@ -83,7 +83,7 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()) or not 1 <= int(text[:9]) <= maximum:
-        raise BadRequestError(f"{name}: a whole number from 1 to {maximum} is expected")
+        raise BadRequestError(f"{name}: an integer from 1 to {maximum} is expected")
     return int(text)
 
 
--- a/packages/rattanfork-node/rattanfork_node/edge/server.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/server.py
@@ -174,7 +174,7 @@
             return self._bad_request(f"expected POST {_KEYS_PATH}?service=NAME&count=N")
         if not 1 <= int(count) <= _MAX_KEYS:
             return self._bad_request(
-                f"count: a whole number from 1 to {_MAX_KEYS} is expected"
+                f"count: an integer from 1 to {_MAX_KEYS} is expected"
             )
         keys = await self._ingress.issue_keys(service, int(count))
         if not keys:
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -29,7 +29,7 @@
     from rattanfork_node.http1 import Exchange
     from rattanfork_node.relay.relay import Relay
 
-#: Time within which a gate must answer a fence for an attempt whose link was lost.
+#: Time within which a gate must reply to a fence for an attempt whose link was lost.
 _FENCE_TIMEOUT_S = 0.5
 #: Multiple of an instance's mean latency.  If an attempt has waited longer when its
 #: deadline passes, it counts as a failure of the instance: time in a queue, which
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -31,7 +31,7 @@
 from rattanfork_node.relay.gate_results import (
     connection_lost,
     not_run,
-    result_from_answer,
+    result_from_response,
 )
 from rattanfork_node.relay.job import Job
 from rattanfork_node.relay.upstream import Upstream
@@ -367,7 +367,7 @@
         connection.send(
             self._render_request_head(job) + job.body,
             job.request_id,
-            lambda answer: self._on_answer(job, answer),
+            lambda response: self._on_response(job, response),
             job.method == b"HEAD",
         )
 
@@ -391,13 +391,13 @@
             headers += b"%b: %b\r\n" % (names.account, job.account.encode())
         return render_head(job.method, job.target, job.block, len(job.body), headers)
 
-    def _on_answer(self, job: Job, answer: UpstreamResponse | None) -> None:
+    def _on_response(self, job: Job, response: UpstreamResponse | None) -> None:
         if job.ended:
             return
-        result = result_from_answer(job, answer, self._not_run_name)
+        result = result_from_response(job, response, self._not_run_name)
         self.misdirected |= result.reason is Reason.STALE_INSTANCE
         self._finish_run(job, result, result.outcome is Outcome.ANSWERED)
-        if answer is None and self._accepting:
+        if response is None and self._accepting:
             self._crash_detector.on_lost(job.fingerprint)
 
     def _withdraw(self, job: Job, reason: Reason) -> None:
--- a/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate_results.py
@@ -23,8 +23,8 @@
 _MISDIRECTED = 421
 
 
-def result_from_answer(
-    job: Job, answer: UpstreamResponse | None, not_run_name: bytes
+def result_from_response(
+    job: Job, response: UpstreamResponse | None, not_run_name: bytes
 ) -> CallResult:
     """Return the result of a request that was written to the upstream.
 
@@ -33,19 +33,19 @@
 
     job : Job
         The request.
-    answer : UpstreamResponse or None
+    response : UpstreamResponse or None
         Its response; None if the connection closed before one arrived.
     not_run_name : bytes
         Lower-case name of the response header by which an upstream states that it
         did not run the request.
     """
-    if answer is None:
+    if response is None:
         return connection_lost()
-    if answer.status == _MISDIRECTED:
+    if response.status == _MISDIRECTED:
         return not_run(Reason.STALE_INSTANCE)
-    if not_run_name in answer.headers:
+    if not_run_name in response.headers:
         return not_run(Reason.UPSTREAM_SHED)
-    return answered(job, answer)
+    return answered(job, response)
 
 
 def connection_lost() -> CallResult:
@@ -59,15 +59,15 @@
     return CallResult(Outcome.NOT_RUN, reason, retry_elsewhere=retry_elsewhere)
 
 
-def answered(job: Job, answer: UpstreamResponse) -> CallResult:
+def answered(job: Job, response: UpstreamResponse) -> CallResult:
     """Return the result of a request that the upstream ran and answered."""
     result = CallResult(
         Outcome.ANSWERED,
-        status=answer.status,
-        block=answer.header_block,
-        body=answer.body,
+        status=response.status,
+        block=response.header_block,
+        body=response.body,
     )
-    if answer.status >= 500 and not job.failed_calls:
+    if response.status >= 500 and not job.failed_calls:
         # No downstream call failed, so the failure is the upstream's own and
         # counts against it in load balancing, also if the request is not
         # idempotent: a slow instance that times out every POST would otherwise
--- a/packages/rattanfork-node/rattanfork_node/relay/refusals.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/refusals.py
@@ -54,7 +54,7 @@
         self._decision_log.on_refused(
             exchange, NOT_RUN_STATUS, reason, retry_after, **inputs
         )
-        self.answer_not_run(exchange, reason, retry_after)
+        self.respond_not_run(exchange, reason, retry_after)
 
     def refuse_without_route(self, exchange: Exchange) -> None:
         """Refuse a request that matches no route."""
@@ -76,12 +76,12 @@
             waited_ms=round(exchange.account_delay * 1000, 1),
         )
         if retry_after:
-            self.answer_not_run(exchange, refusal.reason, retry_after, refusal.status)
+            self.respond_not_run(exchange, refusal.reason, retry_after, refusal.status)
             return
         self._counters.events[f"relay.refused.{refusal.reason.label}"] += 1
         exchange.respond(refusal.status, self.request_id_line(exchange))
 
-    def answer_not_run(
+    def respond_not_run(
         self,
         exchange: Exchange,
         reason: Reason,
--- a/packages/rattanfork-node/rattanfork_node/relay/relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/relay.py
@@ -50,7 +50,7 @@
 
 #: Time before the caller's deadline at which a request is given up, so that the
 #: response still reaches the caller in time.
-_ANSWER_MARGIN_S = 0.015
+_RESPONSE_MARGIN_S = 0.015
 #: Retry-After of a node that has no configuration yet; it reads one within about a
 #: second of its start.
 _NOT_READY_RETRY_S = 0.3
@@ -323,7 +323,7 @@
         outcome, reason = result.outcome, result.reason
         name = admitted.route.name
         self.counters.requests[outcome.label, name, reason.label] += 1
-        status = result.status or _status_without_answer(outcome, reason)
+        status = result.status or _status_without_response(outcome, reason)
         self._decision_log.on_finished(exchange, admitted, attempts, result, status)
         if result.status:
             exchange.respond(status, result.block, result.body)
@@ -331,7 +331,7 @@
             retry_after = self._jittered_retry_after(admitted.rank)
             if reason is Reason.QUARANTINED:
                 retry_after = self.quarantine.seconds_left(exchange.fingerprint)
-            self._refusals.answer_not_run(exchange, reason, retry_after)
+            self._refusals.respond_not_run(exchange, reason, retry_after)
         else:
             exchange.respond(status, self._refusals.request_id_line(exchange))
 
@@ -354,9 +354,11 @@
     ) -> None:
         now = self.clock.now()
         began = now - exchange.account_delay
-        deadline = began + route.timeout - _ANSWER_MARGIN_S
+        deadline = began + route.timeout - _RESPONSE_MARGIN_S
         if exchange.client_timeout is not None:
-            deadline = min(deadline, began + exchange.client_timeout - _ANSWER_MARGIN_S)
+            deadline = min(
+                deadline, began + exchange.client_timeout - _RESPONSE_MARGIN_S
+            )
         if parent is not None:
             deadline = min(deadline, parent.deadline)
         admitted = AdmittedRequest(
@@ -415,7 +417,7 @@
         return jittered_retry_after(self._settings.retry_after, rank, self._random)
 
 
-def _status_without_answer(outcome: Outcome, reason: Reason) -> int:
+def _status_without_response(outcome: Outcome, reason: Reason) -> int:
     if outcome is Outcome.NOT_RUN:
         return NOT_RUN_STATUS
     return _TIMEOUT_STATUS if reason is Reason.DEADLINE else _UNKNOWN_STATUS
--- a/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/request_rank.py
@@ -19,7 +19,7 @@
 ) -> float:
     """Return the rank of a caller's request; higher ranks are shed first.
 
-    The whole part is the importance level, the fraction a hash of the request ID
+    The integer part is the importance level, the fraction a hash of the request ID
     only, so that all gates shed the same requests of one level.
 
     Parameters
