--- a/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -34,7 +34,7 @@
     gossip_task : GossipTask
         Sends and receives the datagrams of the quota protocol.
     store : StoreTasks
-        Renews the lease and knows whether this node has joined the fleet.
+        Renews the lease and states whether this node has joined the fleet.
     counters : Counters
         Event counters.
     """
--- a/packages/rattanfork-node/rattanfork_node/app/node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/node.py
@@ -35,8 +35,8 @@
 from rattanfork_node.telemetry.metrics import Metrics
 
 _TICK_SECONDS = 0.1
-#: Seconds between announcing the leaving and closing the server to callers.
-_LEAVE_PROPAGATION = 0.5
+#: Seconds between the announcement of leaving and the close of the call server.
+_LEAVE_PROPAGATION_S = 0.5
 #: Consecutive refused connections after which an upstream is considered gone.
 _MAX_REFUSED = 3
 
@@ -263,9 +263,9 @@
         log_change("draining", busy=self._call_gate.outstanding)
         self._gossip_task.leave()
         self._call_gate.drain()
-        # Other nodes must learn of the leaving first.  Calls that they send until
+        # Other nodes must receive the announcement first.  Calls that they send until
         # then are refused as not run, and they retry them at another instance.
-        await asyncio.sleep(_LEAVE_PROPAGATION)
+        await asyncio.sleep(_LEAVE_PROPAGATION_S)
         self._call_server.drain()
         stop = asyncio.ensure_future(self._stop_now.wait())
         done = asyncio.ensure_future(self._finish_in_flight())
--- a/packages/rattanfork-node/rattanfork_node/app/relay_node.py
+++ b/packages/rattanfork-node/rattanfork_node/app/relay_node.py
@@ -59,7 +59,7 @@
 #: Ticks between two summary lines in the log.
 _SUMMARY_TICKS = 50
 #: Seconds without any message after which a connection to a node is considered lost.
-_SILENCE_LIMIT = 0.8
+_SILENCE_TIMEOUT_S = 0.8
 #: Maximum size of a body between nodes, in bytes.
 _MAX_BODY_BYTES = 64 << 20
 #: Requests per slot up to which an instance of the own data centre is chosen without
@@ -218,7 +218,7 @@
             self._counters,
         )
         self._pool = PeerPool(
-            lambda: self._create_link(connecting=True), self._clock, _SILENCE_LIMIT
+            lambda: self._create_link(connecting=True), self._clock, _SILENCE_TIMEOUT_S
         )
 
     def _create_tasks(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/store_tasks.py
@@ -80,7 +80,9 @@
     ) -> None:
         self._configuration = configuration
         self._rules = rules
-        roster = RoleAssignment(membership, "confirmation", _READERS_PER_DATA_CENTRE)
+        store_readers = RoleAssignment(
+            membership, "confirmation", _READERS_PER_DATA_CENTRE
+        )
         self._join = JoinTask(random, platform, membership, gossip_task, on_quarantine)
         self._configuration_task = ConfigurationTask(
             clock,
@@ -92,7 +94,7 @@
             gossip_task,
             pool,
             counters,
-            lambda: roster.includes_self,
+            lambda: store_readers.includes_self,
             lease,
         )
         self._rules_watcher = RulesWatcher(
@@ -104,12 +106,12 @@
             counters,
             lambda: gossip_task.newest_rules,
             lambda: gossip_task.rules_source,
-            lambda: roster.includes_self,
+            lambda: store_readers.includes_self,
         )
         self._confirmation = ConfirmationTask(
             random,
             ConfirmationSchedule(BootTimeClock(), random),
-            roster,
+            store_readers,
             gossip_task,
             (self._configuration_task, self._rules_watcher),
             counters,
@@ -120,12 +122,18 @@
             lease,
             configuration,
             membership,
-            roster,
+            store_readers,
             gossip_task,
             self._confirmation.confirm_soon,
         )
         self._restore = RestoreTask(
-            random, platform, roster, membership, rules, persist_quarantine, counters
+            random,
+            platform,
+            store_readers,
+            membership,
+            rules,
+            persist_quarantine,
+            counters,
         )
         membership.cached_versions = self._cached_versions
         gossip_task.on_cached_versions = self._confirmation.on_cached_versions
