--- a/packages/rattanfork-node/rattanfork_node/peer/messages.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/messages.py
@@ -93,7 +93,7 @@
     ``boot`` is the incarnation of the gate that it is meant for, ``route`` the
     name of its route, ``block`` its raw header lines, and ``rank`` its place in
     the order of shedding (higher ranks are shed first).  ``attempt`` is the number
-    of the attempt, ``arrived`` is true if an earlier one may have reached an
+    of the attempt, ``may_have_arrived`` is true if an earlier one may have reached an
     upstream, and ``repeated`` if the run that made this request was itself a retry.
     ``account`` is the name of the client account, or "".
     """
@@ -110,7 +110,7 @@
     time_left_ms: int
     idempotent: bool
     repeated: bool
-    arrived: bool
+    may_have_arrived: bool
     attempt: int
     account: str
 
--- a/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/client_accounts.py
@@ -74,7 +74,7 @@
 
     exchange: Exchange
     route: Route
-    arrived: float
+    arrived_at: float
 
 
 class ClientAccounts:
@@ -193,7 +193,7 @@
         exchange, route = waiting.exchange, waiting.route
         index = self._configuration.current.accounts
         account = None if index is None else index.find(exchange.keys[0])
-        waited = self._lease.now() - waiting.arrived
+        waited = self._lease.now() - waiting.arrived_at
         if account is not None or index is None:
             exchange.account_delay += waited
             if account is None:
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -85,7 +85,6 @@
 
     __slots__ = (
         "_admitted",
-        "_arrived",
         "_attempt",
         "_attempt_records",
         "_blocked",
@@ -96,6 +95,7 @@
         "_link",
         "_lost_runs",
         "_machine",
+        "_may_have_arrived",
         "_number",
         "_parent",
         "_relay",
@@ -115,7 +115,7 @@
         self._parent = admitted.parent
         self._blocked = admitted.blocked | admitted.ruled_out
         self._repeated = admitted.parent is not None and admitted.parent.is_repeat
-        self._arrived = False
+        self._may_have_arrived = False
         self._retry_denials = 0
         self._lost_runs = 0
         self._attempt = 0
@@ -243,7 +243,7 @@
             admitted.deadline,
             admitted.route.idempotent,
             self._repeated,
-            self._arrived,
+            self._may_have_arrived,
             attempt,
             lambda result: self._on_result(attempt, result),
             account=exchange.account_name,
@@ -270,7 +270,7 @@
             max(0, int(left * 1000)),
             admitted.route.idempotent,
             self._repeated,
-            self._arrived,
+            self._may_have_arrived,
             attempt,
             exchange.account_name,
         )
@@ -310,7 +310,7 @@
             self._update_instance_state(failed=True)
             self._record_attempt(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
-            self._arrived = True
+            self._may_have_arrived = True
             self._execute(self._machine.on_connection_lost(attempt))
             return
         self._relay.early_shedder.update(self._admitted.operation, name, reply.cut)
@@ -334,7 +334,7 @@
         self._update_instance_state(failed=result.reason in _INSTANCE_FAILURE_REASONS)
         self._record_attempt(result.reason, result.status)
         self._last_reason = result.reason
-        self._arrived |= result.reason in _REACHED_UPSTREAM_REASONS
+        self._may_have_arrived |= result.reason in _REACHED_UPSTREAM_REASONS
         self._retry_denials += result.reason is Reason.NO_REPEAT
         self._lost_runs += result.reason is Reason.CONNECTION
         if 200 <= result.status < 300:
--- a/packages/rattanfork-node/rattanfork_node/relay/gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/gate.py
@@ -289,7 +289,7 @@
         A child call of a run that is itself a retry is charged but never denied:
         without the call, all work of the run so far would be lost.
         """
-        if job.arrived:
+        if job.may_have_arrived:
             job.granted = self.grants.grant(job.rank)
             return job.granted
         if job.repeated:
--- a/packages/rattanfork-node/rattanfork_node/relay/job.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/job.py
@@ -36,7 +36,7 @@
         Whether it may be run more than once.
     repeated : bool
         Whether the run that made this child call was itself a retry.
-    arrived : bool
+    may_have_arrived : bool
         Whether an earlier attempt may have reached an upstream.
     attempt : int
         Number of this attempt at the request, starting at 1.
@@ -58,7 +58,7 @@
     deadline: float
     idempotent: bool
     repeated: bool
-    arrived: bool
+    may_have_arrived: bool
     attempt: int
     done: Callable[[CallResult], None]
     may_hand_over: Callable[[], bool] = _always_allowed
@@ -92,4 +92,4 @@
     @property
     def is_repeat(self) -> bool:
         """Whether an upstream may have received it, or its parent run, before."""
-        return self.repeated or self.arrived
+        return self.repeated or self.may_have_arrived
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -78,7 +78,7 @@
             self._clock.now() + run.time_left_ms / 1000,
             run.idempotent,
             run.repeated,
-            run.arrived,
+            run.may_have_arrived,
             run.attempt,
             self._replier(link, run.number, run.route),
             lambda: call_log.hand_over(run.number),
@@ -116,8 +116,10 @@
             self._gate.cancel(job)
 
     def on_call(self, link: PeerLink, call: Call) -> None:
-        """Reject calls with idempotency keys: only nodes without routes serve them."""
-        raise FrameError("calls with keys are not supported by a routing node")
+        """Reject requests of the call path: only nodes without routes serve them."""
+        raise FrameError(
+            "calls are served only by nodes without routes; a run is expected"
+        )
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
         """Reject requests for error budget burn: totals are not kept here."""
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/fakes.py
@@ -138,7 +138,7 @@
             "deadline": self.clock.now() + 2.0,
             "idempotent": True,
             "repeated": False,
-            "arrived": False,
+            "may_have_arrived": False,
             "attempt": 1,
             "done": results.append,
         }
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_fault_pairs.py
@@ -75,7 +75,7 @@
     def take(self, link: FakeLink, index: int) -> bool:
         """Return whether an attempt is admitted; deny it if not."""
         run = link.runs[index][0]
-        if not run.arrived:
+        if not run.may_have_arrived:
             self.grants.count_request()
             return True
         if self.grants.grant(run.rank):
@@ -111,7 +111,9 @@
             break
         if any(fault.may_run or fault.reason in AT_UPSTREAM for fault in applied):
             link, index = attempt
-            assert link.runs[index][0].arrived, "retry that is not marked as one"
+            assert link.runs[index][0].may_have_arrived, (
+                "retry that is not marked as one"
+            )
         if not gates.take(*attempt):
             continue
         fault = faults[min(step, len(faults) - 1)]
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_gate.py
@@ -177,7 +177,7 @@
 
 def submit_retry(harness: GateHarness, number: int):
     """Submit a retry of a request that has reached another upstream."""
-    return harness.submit(f"r{number}", arrived=True, attempt=2)[1]
+    return harness.submit(f"r{number}", may_have_arrived=True, attempt=2)[1]
 
 
 def test_gate_denies_retries_beyond_its_budget():
@@ -198,7 +198,7 @@
     """A retry is charged, waits, and is cancelled before the upstream gets it."""
     harness = GateHarness(slots=1)
     harness.submit("running")
-    job, _ = harness.submit("waiting", arrived=True, attempt=2)
+    job, _ = harness.submit("waiting", may_have_arrived=True, attempt=2)
     assert harness.grants.spent == 1
     harness.gate.cancel(job)
     assert harness.grants.spent == 0
--- a/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/tests/test_relay.py
@@ -83,7 +83,10 @@
     first.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     assert exchange.output is None
     second, index = next(r for r in harness.runs if r[0] is not first)
-    assert (second.runs[index][0].arrived, second.runs[index][0].attempt) == (True, 2)
+    assert (second.runs[index][0].may_have_arrived, second.runs[index][0].attempt) == (
+        True,
+        2,
+    )
     second.reply(index, ANSWERED, failed, 500, retry_elsewhere=True)
     assert exchange.output == (500, b"", b"body")
 
