--- a/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
+++ b/packages/rattanfork-node/rattanfork_node/call_gate/tests/test_call_gate.py
@@ -1,4 +1,4 @@
-"""The call gate when its upstream goes away while a request is queued.
+"""Tests of a call gate whose upstream detaches while a request is queued.
 
 The queued request is admitted when a slot becomes free, but there is no upstream
 to send it to.  It must be reported as not run at once, and its slot released.
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/epoch_cache.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/epoch_cache.py
@@ -6,15 +6,15 @@
 
 
 class EpochCache:
-    """Key epochs reported in replies, for as long as they are fresh.
+    """Caches the key epochs of call gates for ``MAX_AGE_S`` seconds.
 
     Explanation
     ===========
 
     A call gate starts a new key epoch every few minutes.  Gossiped to all
     members, the epochs of 17,000 gates would make 57 updates a second.  Only
-    nodes that issue keys need them, so these take them from replies or request
-    them.
+    nodes that issue keys need them, so these cache the epochs that replies carry,
+    and request others.
 
     Examples
     ========
@@ -30,7 +30,7 @@
     True
     """
 
-    #: Shorter than an epoch lasts even at very high rates.
+    #: Shorter than an epoch, even at very high request rates.
     MAX_AGE_S = 10.0
     MAX_ENTRIES = 4096
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
@@ -1,4 +1,4 @@
-"""Results of attempts at an instance that another process has replaced.
+"""Tests of attempts at an instance that another process has replaced.
 
 Guards against "not run" for a request that did run: a node is killed during a run
 and restarts at the same address, and the caller repeats the request with its key.
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_request_policy.py
@@ -1,4 +1,4 @@
-"""Policy of a request by rules, values requested by the caller, and defaults."""
+"""Tests of request policies: rules, values requested by the caller, defaults."""
 
 from rattanfork_core.clock import ManualClock
 from rattanfork_core.request import Importance
--- a/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/tests/test_render.py
@@ -1,4 +1,4 @@
-"""HTTP responses: status, outcome header and Retry-After."""
+"""Tests of HTTP responses: status, outcome header and Retry-After."""
 
 import pytest
 from rattanfork_core.request import CallResult, Outcome, Reason
--- a/packages/rattanfork-node/rattanfork_node/http1/client.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/client.py
@@ -85,7 +85,8 @@
         ======
 
         ConnectionError
-            If no connection could be made, or it closed before a whole response.
+            If no connection could be opened, or it closed before the response was
+            complete.
         TimeoutError
             If no response came in time; the server may have processed the request.
         """
@@ -102,7 +103,7 @@
                 self._pool.drop_idle()
                 raise
         if response is None:
-            raise ConnectionError("connection closed before a whole response arrived")
+            raise ConnectionError("connection closed before the response was complete")
         return response
 
     def close(self) -> None:
--- a/packages/rattanfork-node/rattanfork_node/http1/upstream.py
+++ b/packages/rattanfork-node/rattanfork_node/http1/upstream.py
@@ -112,7 +112,7 @@
         ==========
 
         data : bytes
-            The whole request.
+            The complete request, head and body.
         request_id : bytes
             ID that the response must echo if it has the header.
         on_response : callable
--- a/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Peer connections: handshake, malformed frames, silence, late replies."""
+"""Tests of peer connections: handshake, malformed frames, silence, late replies."""
 
 import asyncio
 
@@ -100,12 +100,12 @@
     assert near.usable
     assert far.usable
     assert (near.peer, far.peer) == ("far", "near")
-    answer = near.ask(CALL)
+    reply_future = near.ask(CALL)
     pair.deliver()
     assert pair.handlers[1].calls == [CALL]
     far.send(REPLY)
     pair.deliver()
-    assert answer.result() == REPLY
+    assert reply_future.result() == REPLY
 
 
 @on_event_loop
@@ -124,13 +124,13 @@
     pair = LinkPair()
     pair.deliver()
     near, far = pair.links
-    answer = near.ask(CALL)
+    reply_future = near.ask(CALL)
     near.forget(CALL.number)
     other = near.ask(CALL._replace(number=2))
     far.send(REPLY)
     far.send(REPLY)
     pair.deliver()
-    assert not answer.done()
+    assert not reply_future.done()
     assert not other.done()
     assert near.late_replies == 2
 
@@ -142,13 +142,13 @@
     pair = LinkPair()
     pair.deliver()
     near = pair.links[0]
-    answer = near.ask(CALL)
+    reply_future = near.ask(CALL)
     for _ in range(10):
         pair.clock.advance(0.1)
         near.heartbeat(silence=0.6, idle=5.0)
     assert near.closed
     with pytest.raises(LinkLostError):
-        answer.result()
+        reply_future.result()
 
 
 @on_event_loop
