--- a/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
+++ b/packages/rattanfork-node/rattanfork_node/app/account_tasks.py
@@ -24,7 +24,7 @@
     random : Random
         Source of random delays.
     settings : RelaySettings
-        Settings of the request path, including those of quotas.
+        Settings of the route path, including those of quotas.
     configuration : ConfigurationHolder
         The configuration in force.
     lease : ConfigurationLease
@@ -34,7 +34,7 @@
     gossip_task : GossipTask
         Sends and receives the datagrams of the quota protocol.
     store : StoreTasks
-        Renews the lease and knows whether this node has joined the fleet.
+        Renews the lease and states whether this node has joined the fleet.
     counters : Counters
         Event counters.
     """
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/ingress.py
@@ -134,10 +134,10 @@
         if refusal is not None:
             return await self._fence_refused_key(incoming, refusal), policy
         deadline = self._clock.now() + policy.deadline
-        account = RequestBudget(self._clock, deadline, policy.attempts)
+        request_budget = RequestBudget(self._clock, deadline, policy.attempts)
         job = CallJob(
             incoming,
-            account,
+            request_budget,
             policy.importance,
             rank,
             policy.idempotent,
@@ -183,10 +183,10 @@
         if incoming.timeout is not None:
             deadline = min(deadline, self._clock.now() + incoming.timeout)
         lent = context.account.delegate()
-        account = RequestBudget(self._clock, deadline, lent)
+        request_budget = RequestBudget(self._clock, deadline, lent)
         job = CallJob(
             incoming,
-            account,
+            request_budget,
             context.importance,
             rank,
             incoming.idempotent,
@@ -201,7 +201,7 @@
             result = await self._dispatch(job)
         finally:
             context.cancel_callbacks.pop(number, None)
-        context.account.reclaim(lent, account.attempts)
+        context.account.reclaim(lent, request_budget.attempts)
         self._report_to_parent(context, job, result)
         return result
 
--- a/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
+++ b/packages/rattanfork-node/rattanfork_node/call_ingress/tests/test_replaced_instance.py
@@ -1,4 +1,4 @@
-"""Results of attempts at an instance that another process has replaced.
+"""Tests of attempts at an instance that another process has replaced.
 
 Guards against "not run" for a request that did run: a node is killed during a run
 and restarts at the same address, and the caller repeats the request with its key.
@@ -14,9 +14,16 @@
 
 
 def job(key: str, key_is_new: bool) -> CallJob:
-    account = RequestBudget(ManualClock(), 1.0, 1)
+    request_budget = RequestBudget(ManualClock(), 1.0, 1)
     return CallJob(
-        None, account, Importance.HIGH, 1.5, False, key, "", key_is_new=key_is_new
+        None,
+        request_budget,
+        Importance.HIGH,
+        1.5,
+        False,
+        key,
+        "",
+        key_is_new=key_is_new,
     )
 
 
--- a/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of one request: its attempts, retries, fences and deadline."""
+"""Route path: attempts, retries, fences and deadline of one request."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
     from rattanfork_node.http1 import Exchange
     from rattanfork_node.relay.relay import Relay
 
-#: Time within which a gate must answer a fence for an attempt whose link was lost.
+#: Time within which a gate must reply to a fence for an attempt whose link was lost.
 _FENCE_TIMEOUT_S = 0.5
-#: Multiple of an instance's usual latency after which a passed deadline counts as its
-#: failure: more than a queue that refuses late requests can add.
+#: Multiple of an instance's mean latency.  If an attempt has waited longer when its
+#: deadline passes, it counts as a failure of the instance: time in a queue, which
+#: refuses late requests, can't explain such a wait.
 _SILENT_LATENCY_FACTOR = 4.0
 #: Refused attempts ("not run") that don't count against the attempts of a route.  The
 #: retry budget is the effective limit: of the runs with four calls that it allowed,
@@ -84,7 +85,6 @@
 
     __slots__ = (
         "_admitted",
-        "_arrived",
         "_attempt",
         "_attempt_records",
         "_blocked",
@@ -95,6 +95,7 @@
         "_link",
         "_lost_runs",
         "_machine",
+        "_may_have_arrived",
         "_number",
         "_parent",
         "_relay",
@@ -114,7 +115,7 @@
         self._parent = admitted.parent
         self._blocked = admitted.blocked | admitted.ruled_out
         self._repeated = admitted.parent is not None and admitted.parent.is_repeat
-        self._arrived = False
+        self._may_have_arrived = False
         self._retry_denials = 0
         self._lost_runs = 0
         self._attempt = 0
@@ -127,9 +128,9 @@
         self._sent_at = 0.0
         self._sent_to = ""
         route, deadline = admitted.route, admitted.deadline
-        account = LocalRequestBudget(relay.clock, deadline, route.most_upstreams - 1)
+        budget = LocalRequestBudget(relay.clock, deadline, route.most_upstreams - 1)
         self._machine = RequestStateMachine(
-            account,
+            budget,
             route.idempotent,
             self._pick_instance,
             may_retry=self._may_retry,
@@ -151,12 +152,12 @@
         admitted = self._admitted
         picker, operation = admitted.picker, admitted.operation
         # Only for a caller's own request must the instance be fast enough for the
-        # time left: a call that times out is retried, or its run is.
+        # time left: a child call that times out is retried, or its run is.
         time_left = inf
         if admitted.parent is None:
             time_left = admitted.deadline - self._relay.clock.now()
-        # If all instances are expected to shed the request, any may be asked, as
-        # its gate decides; instances that a rule excludes stay excluded.
+        # If all instances are expected to shed the request, it may be sent to any of
+        # them, as its gate decides; instances that a rule excludes stay excluded.
         return picker.pick(avoid | self._blocked, operation, time_left) or (
             None if avoid else picker.pick(admitted.ruled_out, operation, time_left)
         )
@@ -242,7 +243,7 @@
             admitted.deadline,
             admitted.route.idempotent,
             self._repeated,
-            self._arrived,
+            self._may_have_arrived,
             attempt,
             lambda result: self._on_result(attempt, result),
             account=exchange.account_name,
@@ -269,7 +270,7 @@
             max(0, int(left * 1000)),
             admitted.route.idempotent,
             self._repeated,
-            self._arrived,
+            self._may_have_arrived,
             attempt,
             exchange.account_name,
         )
@@ -309,7 +310,7 @@
             self._update_instance_state(failed=True)
             self._record_attempt(Reason.CONNECTION)
             self._last_reason = Reason.CONNECTION
-            self._arrived = True
+            self._may_have_arrived = True
             self._execute(self._machine.on_connection_lost(attempt))
             return
         self._relay.early_shedder.update(self._admitted.operation, name, reply.cut)
@@ -333,7 +334,7 @@
         self._update_instance_state(failed=result.reason in _INSTANCE_FAILURE_REASONS)
         self._record_attempt(result.reason, result.status)
         self._last_reason = result.reason
-        self._arrived |= result.reason in _REACHED_UPSTREAM_REASONS
+        self._may_have_arrived |= result.reason in _REACHED_UPSTREAM_REASONS
         self._retry_denials += result.reason is Reason.NO_REPEAT
         self._lost_runs += result.reason is Reason.CONNECTION
         if 200 <= result.status < 300:
@@ -406,7 +407,7 @@
 
     def _finish(self, result: CallResult) -> None:
         self._timer.cancel()
-        # The job's callback refers to this object: breaks the reference cycle.
+        # Breaks the reference cycle between this object and the job's callback.
         self._job = None
         self._relay.finish(
             self._exchange, self._admitted, self._attempt_records, result
--- a/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
+++ b/packages/rattanfork-node/rattanfork_node/relay/peer_handler.py
@@ -1,4 +1,4 @@
-"""Handles messages from peer nodes at a routing node."""
+"""Route path: handles messages from other nodes."""
 
 from collections.abc import Callable
 
@@ -61,7 +61,7 @@
 
     def on_run(self, link: PeerLink, run: Run) -> None:
         """Submit a run to the gate."""
-        ledger = self.register_request(link, run.number)
+        call_log = self.register_request(link, run.number)
         if not 0 <= run.rank < RANK_LIMIT:
             raise FrameError("rank of a run is out of range")
         if not run.account.isprintable():
@@ -78,10 +78,10 @@
             self._clock.now() + run.time_left_ms / 1000,
             run.idempotent,
             run.repeated,
-            run.arrived,
+            run.may_have_arrived,
             run.attempt,
             self._replier(link, run.number, run.route),
-            lambda: ledger.hand_over(run.number),
+            lambda: call_log.hand_over(run.number),
             link.peer,
             run.account,
         )
@@ -116,8 +116,10 @@
             self._gate.cancel(job)
 
     def on_call(self, link: PeerLink, call: Call) -> None:
-        """Reject calls with idempotency keys: only nodes without routes serve them."""
-        raise FrameError("calls with keys are not supported by a routing node")
+        """Reject requests of the call path: only nodes without routes serve them."""
+        raise FrameError(
+            "calls are served only by nodes without routes; a run is expected"
+        )
 
     def on_burn(self, link: PeerLink, request: BurnRequest) -> None:
         """Reject requests for error budget burn: totals are not kept here."""
