--- a/packages/rattanfork-node/rattanfork_node/peer/handshake.py
+++ b/packages/rattanfork-node/rattanfork_node/peer/handshake.py
@@ -6,8 +6,8 @@
 
 from rattanfork_node.peer.errors import FrameError
 
-#: Initial receive buffer of a connection; by default, msgpack would allocate the
-#: maximum size at once.
+#: Initial receive buffer of a connection; msgpack's default is the maximum size, up to
+#: 1 MiB.
 _INITIAL_BUFFER_BYTES = 16 << 10
 
 
