--- a/packages/rattanfork-core/rattanfork_core/membership/messages.py
+++ b/packages/rattanfork-core/rattanfork_core/membership/messages.py
@@ -18,7 +18,7 @@
 
 #: Bytes of the truncated HMAC-SHA256 at the head of a datagram.
 _MAC_BYTES = 12
-#: Below the usual MTU of 1,500 bytes, so that datagrams are not fragmented.
+#: Below the Ethernet MTU of 1,500 bytes, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
 #: Updates that are read from one datagram; further ones are ignored.
 _MAX_UPDATES_READ = 16
@@ -164,9 +164,11 @@
             )
         number, sender, target, versions, updates = fields
     except Exception as error:
-        raise ValueError("malformed datagram: unreadable content") from error
+        raise ValueError(
+            "malformed datagram: fields of a known message type expected"
+        ) from error
     if type(number) is not int:
-        raise ValueError("malformed datagram: message number must be an integer")
+        raise ValueError("malformed datagram: integer message number expected")
     if not isinstance(target, str) or not isinstance(updates, tuple):
         raise ValueError("malformed datagram: target name and list of updates expected")
     return message_type(
--- a/packages/rattanfork-node/rattanfork_node/config/restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/restore_task.py
@@ -33,7 +33,7 @@
     Explanation
     ===========
 
-    A store that comes back from an older backup starts a new era.  The operator and
+    A store that is restored from a backup starts a new era.  The operator and
     the upstreams rewrite their own rows.  Member records, accepted rules and the
     quarantine were written by nodes, which may not contact the store again for
     hours, so a few readers rewrite them for all from their local state.
@@ -47,7 +47,7 @@
     platform : WatchedPlatform
         The store.
     readers : RoleAssignment
-        Readers, in the order of their turns.
+        Readers; the first few rewrite the rows, one after the other.
     membership : Membership
         Membership view of this node.
     rules : RevisionState
@@ -105,8 +105,8 @@
         delay = _MIN_RETRY_DELAY_S
         while self._platform.era == era:
             try:
-                # The quarantine goes first: if all nodes terminate now, only the
-                # stored copy protects the upstreams.
+                # The quarantine is written first: if all nodes terminate now, only
+                # the stored copy protects the upstreams.
                 await self._persist_quarantine()
                 members = await self._write_missing_records()
                 rules = await self._write_rules()
--- a/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
+++ b/packages/rattanfork-node/rattanfork_node/config/tests/test_restore_task.py
@@ -78,8 +78,8 @@
         platform: RestoredPlatform | None = None,
     ) -> None:
         members = [member(f"n{number}") for number in range(others + 1)]
-        turns = role_holders([m.name for m in members], "confirmation", readers)
-        me = next(m for m in members if m.name == turns[turn])
+        holders = role_holders([m.name for m in members], "confirmation", readers)
+        me = next(m for m in members if m.name == holders[turn])
         self.platform = platform or RestoredPlatform()
         self.membership = Membership(ManualClock(), Random(1), me)
         self.membership.merge(m for m in members if m is not me)
@@ -157,7 +157,7 @@
 
 @with_short_delays
 async def test_early_reader_writes_all_missing_records():
-    """Guards against hundreds of nodes writing at the same moment."""
+    """Guards against hundreds of nodes that write at the same time."""
     harness = Harness(others=200)
     await harness.restore()
     await wait_until(lambda: len(harness.platform.rows) == 201)
