--- a/packages/rattanfork-core/rattanfork_core/budgets/local_request_budget.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/local_request_budget.py
@@ -9,7 +9,7 @@
     Explanation
     ===========
 
-    If upstreams don't propagate the context header from a request to its
+    If upstreams do not propagate the context header from a request to its
     downstream calls, delegated attempts could not be used there and would be
     missing for retries at this hop.  Downstream retries are bounded by the retry
     budgets of their services instead.
--- a/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
+++ b/packages/rattanfork-core/rattanfork_core/budgets/run_context.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class RunContext:
-    """A request running at the upstream, as its downstream calls inherit it.
+    """A request running at the upstream, as its child calls inherit it.
 
     Parameters
     ==========
@@ -17,7 +17,7 @@
     token : str
         Opaque identifier, sent to the upstream in ``Rattanfork-Context``.
     account : RequestBudget
-        Deadline and extra attempts for the downstream calls of the run.
+        Deadline and extra attempts for the child calls of the run.
     downstream_threshold : float
         Lowest admission threshold received from the services that this run called.
     downstream_retry_after : float
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/overload_simulation.py
@@ -35,7 +35,7 @@
 SLOTS = 29
 #: Speeds of the leaf upstreams, relative to the mean.
 SPEEDS = (0.6, 1.0, 1.4)
-#: Mean duration of a call, and its time-out, in seconds.
+#: Mean duration of a call, and its timeout, in seconds.
 CALL_MEAN = 0.13
 CALL_TIMEOUT = 0.7
 #: Attempts of a call that gates shed.
--- a/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/tests/test_gate_reports.py
@@ -103,7 +103,7 @@
 def test_entry_nodes_shed_what_an_overloaded_leaf_service_would_shed(size):
     """The leaf service receives nearly twice the load that it can serve.
 
-    Four in five of the least important requests, the lookups, can't be served.  They
+    Four in five of the least important requests, the lookups, cannot be served.  They
     are shed at the entry node, before the middle service works for them.  Requests of
     higher importance succeed, and nearly all leaf runs belong to successful requests.
     """
--- a/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/threshold_cache.py
@@ -27,7 +27,7 @@
     After an overload few requests pass, so few replies report that the gate has
     opened.  A request just above the reported threshold, or below the value that it
     has risen to, may therefore pass as a probe.  There is one outstanding probe for
-    each entry, and the next is sent only after its reply or its time-out.
+    each entry, and the next is sent only after its reply or its timeout.
 
     Parameters
     ==========
--- a/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
+++ b/packages/rattanfork-core/rattanfork_core/gate_status/upstream_health.py
@@ -44,7 +44,7 @@
     An upstream is slow in comparison with its own past, as instances of one service
     differ in speed without a fault.  The time spent by runs, in units of the mean
     duration of their operation, is compared with the number of completed runs.  Runs in
-    progress therefore count before they end, which at an upstream that turns slow is
+    progress therefore count before they end, which at an upstream that becomes slow is
     seconds late.
 
     Parameters
--- a/packages/rattanfork-core/rattanfork_core/routing/instance.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/instance.py
@@ -88,7 +88,7 @@
     def expected_latency(self, now: float) -> float:
         """Return the latency to expect in seconds; 0 while unknown.
 
-        The moving latency of an instance that turns slow rises only with its first
+        The moving latency of an instance that becomes slow rises only with its first
         replies, which are late: one that becomes twelve times slower would get its full
         share of calls until then.  The mean age of the calls in flight rises at once.
         In normal operation it is between half the latency and the whole.
--- a/packages/rattanfork-core/rattanfork_core/routing/picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/picker.py
@@ -25,7 +25,7 @@
 _MAX_PREFERRED_FAILURE_RATE = 0.08
 #: Mean latencies within which nearly all runs of an operation end: all but one in 26 if
 #: durations are log-normal with a sigma of 0.8.  With a factor of 4, more calls went to
-#: other data centres, whose traffic cost more than the avoided time-outs.
+#: other data centres, whose traffic cost more than the avoided timeouts.
 _TIMEOUT_MEANS = 3.0
 #: Seconds for which the latency of an operation at an instance is used.  Afterwards
 #: each node sends calls to a slow instance again.
@@ -185,7 +185,7 @@
     ) -> list[InstanceState]:
         """Return the instances at which a call hardly ever times out.
 
-        If the time-out is a few times the mean latency, several times as many calls
+        If the timeout is a few times the mean latency, several times as many calls
         time out at the slower instances of a service as at the faster ones, while the
         faster ones have spare capacity.  With runs of very unequal duration it is one
         in 35 at an instance 0.6 times as fast as the mean, and one in 630 at one 1.4
--- a/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
+++ b/packages/rattanfork-core/rattanfork_core/routing/tests/test_picker.py
@@ -99,7 +99,7 @@
 
 
 def test_slow_or_failing_local_instance_is_compared_with_all():
-    """The local instance turns slow, or fails, while it has free slots.
+    """The local instance becomes slow, or fails, while it has free slots.
 
     Local callers would otherwise use only this instance until its slots are full.
     """
@@ -110,7 +110,7 @@
     assert _picked(_make_local_picker(failing, far)) == {"far"}
 
 
-def test_instance_turning_slow_gets_fewer_calls_before_its_first_late_reply():
+def test_instance_becoming_slow_gets_fewer_calls_before_its_first_late_reply():
     """One of two instances becomes twelve times slower.
 
     Its first late reply comes after 1.2 s.  By its moving latency alone it would get
@@ -202,7 +202,7 @@
 def test_calls_with_a_short_timeout_go_to_instances_where_few_time_out():
     """The local instance is slow, and one in 35 of its POST calls times out.
 
-    A POST that timed out may have run, so its caller can't retry it.
+    A POST that timed out may have run, so its caller cannot retry it.
     """
     before, _ = timeout_and_remote_shares(use_timeout=False)
     after, remote = timeout_and_remote_shares(use_timeout=True)
@@ -258,9 +258,9 @@
 def test_hanging_instance_does_not_attract_calls_with_a_short_timeout():
     """One of three instances hangs for longer than its latency is used.
 
-    Its latency is then unknown.  If it counted as fast, all calls with a short time-out
+    Its latency is then unknown.  If it counted as fast, all calls with a short timeout
     would be sent to it and fail; it must get no more of them than of those with a long
-    time-out.
+    timeout.
     """
     short = calls_by_instance_while_one_hangs(0.8)
     long = calls_by_instance_while_one_hangs(60.0)
