--- a/packages/rattanfork-node/rattanfork_node/admin/admin.py
+++ b/packages/rattanfork-node/rattanfork_node/admin/admin.py
@@ -132,7 +132,7 @@
 def _parse_facts(request: web.Request) -> RequestFacts:
     query = request.query
     if "service" not in query or "operation" not in query:
-        raise ValueError("query parameters service and operation are required")
+        raise ValueError("service and operation are needed")
     return RequestFacts(
         query["service"],
         query["operation"],
--- a/packages/rattanfork-node/rattanfork_node/edge/parse.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/parse.py
@@ -83,12 +83,12 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()) or not 1 <= int(text[:9]) <= maximum:
-        raise BadRequestError(f"{name}: an integer from 1 to {maximum} is expected")
+        raise BadRequestError(f"{name}: a whole number from 1 to {maximum} is expected")
     return int(text)
 
 
 def _check_token(name: str, text: str, max_length: int) -> None:
     if len(text) > max_length:
-        raise BadRequestError(f"{name}: at most {max_length} characters are allowed")
+        raise BadRequestError(f"{name}: at most {max_length} characters")
     if not text.isascii() or not text.isprintable():
         raise BadRequestError(f"{name}: printable ASCII is expected")
--- a/packages/rattanfork-node/rattanfork_node/edge/server.py
+++ b/packages/rattanfork-node/rattanfork_node/edge/server.py
@@ -171,11 +171,9 @@
         service = request.query.get("service", "")
         count = request.query.get("count", "1")
         if request.method != "POST" or not service or not count.isdigit():
-            return self._bad_request(f"expected POST {_KEYS_PATH}?service=NAME&count=N")
+            return self._bad_request(f"POST {_KEYS_PATH}?service=NAME&count=N")
         if not 1 <= int(count) <= _MAX_KEYS:
-            return self._bad_request(
-                f"count: an integer from 1 to {_MAX_KEYS} is expected"
-            )
+            return self._bad_request(f"count: from 1 to {_MAX_KEYS}")
         keys = await self._ingress.issue_keys(service, int(count))
         if not keys:
             return self._refuse(Reason.NO_INSTANCE, "")
